--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -1,6 +1,5 @@
 """Jobs as graphs of steps: records, durable rows, acceptance."""
 
-from .acceptance import Acceptance, Verdict
 from .configuration import (
     Account,
     AdviceTerms,
@@ -11,6 +10,7 @@
 )
 from .desk import Admitted, Desk, JobContent, Outcome, Reply
 from .follower import Follower
+from .job_operations import JobOperations, Verdict
 from .progress import (
     GANG,
     JobProgress,
@@ -34,7 +34,7 @@
 __all__ = [
     "FINISHED",
     "GANG",
-    "Acceptance",
+    "JobOperations",
     "Account",
     "Admitted",
     "AdviceTerms",
--- a/libs/jobs/src/bilberryhitch_jobs/desk.py
+++ b/libs/jobs/src/bilberryhitch_jobs/desk.py
@@ -7,8 +7,8 @@
 
 from bilberryhitch_telemetry import events, log
 
-from .acceptance import Acceptance, Verdict
 from .configuration import Configuration, Queue
+from .job_operations import JobOperations, Verdict
 from .records import JobRequest, JobState, Schedule, Step
 
 # Without contact for this long the store is taken to be out of reach: the
@@ -81,7 +81,7 @@
 
     def __init__(
         self,
-        acceptance: Acceptance,
+        acceptance: JobOperations,
         configuration: Callable[[], Configuration | None],
         store_heard_at: Callable[[], float],
     ) -> None:
--- a/libs/jobs/src/bilberryhitch_jobs/acceptance.py
+++ b/libs/jobs/src/bilberryhitch_jobs/job_operations.py
@@ -62,7 +62,7 @@
     UNKNOWN = auto()
 
 
-class Acceptance:
+class JobOperations:
     """Callers' operations on jobs, on any entry host.
 
     :param now: steady clock in seconds
--- a/libs/jobs/tests/test_desk.py
+++ b/libs/jobs/tests/test_desk.py
@@ -6,12 +6,12 @@
 
 import pytest
 from bilberryhitch_jobs import (
-    Acceptance,
     Account,
     Configuration,
     Demand,
     Desk,
     JobContent,
+    JobOperations,
     JobProgress,
     JobRequest,
     JobState,
@@ -24,8 +24,8 @@
     decode_request,
     encode_progress,
 )
-from bilberryhitch_jobs.acceptance import Verdict
 from bilberryhitch_jobs.errors import CommitConflict, StoreRefused, StoreUnknown
+from bilberryhitch_jobs.job_operations import Verdict
 from bilberryhitch_jobs.rows import Row
 from bilberryhitch_testing import run_virtual
 
@@ -92,7 +92,7 @@
 
 def desk(store, *, heard=0.0, config=True, public=False):
     return Desk(
-        Acceptance(store),
+        JobOperations(store),
         lambda: configuration(public) if config else None,
         lambda: time.monotonic() - heard,
     )
@@ -152,7 +152,7 @@
     async def scene():
         store = SlowStore()
         loop = asyncio.get_running_loop()
-        acceptance = Acceptance(store, loop.time)
+        acceptance = JobOperations(store, loop.time)
         requests = [
             JobRequest(f"{number:016x}", queue(), "a", "s", CONTENT.steps, 0.0)
             for number in range(48)
--- a/libs/planner/src/bilberryhitch_planner/lead.py
+++ b/libs/planner/src/bilberryhitch_planner/lead.py
@@ -14,9 +14,9 @@
     Write,
     decode_request,
 )
-from bilberryhitch_jobs.acceptance import CANCEL_SUFFIX, JOB_PARTS, JOBS
 from bilberryhitch_jobs.errors import STORE_ERRORS, RowUnreadable
 from bilberryhitch_jobs.follower import Follower
+from bilberryhitch_jobs.job_operations import CANCEL_SUFFIX, JOB_PARTS, JOBS
 from bilberryhitch_telemetry import events, log
 
 from .errors import Deposed, Isolated, MachinesUnknown, WorkerFenced
