--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -10,7 +10,7 @@
 )
 from .desk import Admitted, Desk, JobContent, Outcome, Reply
 from .follower import Follower
-from .job_operations import JobOperations, Verdict
+from .job_operations import JobOperations, OperationResult
 from .progress import (
     GANG,
     JobProgress,
@@ -60,7 +60,7 @@
     "Store",
     "TaskName",
     "UnitProgress",
-    "Verdict",
+    "OperationResult",
     "Write",
     "decode_progress",
     "decode_request",
--- a/libs/jobs/src/bilberryhitch_jobs/desk.py
+++ b/libs/jobs/src/bilberryhitch_jobs/desk.py
@@ -8,7 +8,7 @@
 from bilberryhitch_telemetry import events, log
 
 from .configuration import Configuration, Queue
-from .job_operations import JobOperations, Verdict
+from .job_operations import JobOperations, OperationResult
 from .records import JobRequest, JobState, Schedule, Step
 
 # Without contact for this long the store is taken to be out of reach: the
@@ -163,13 +163,13 @@
             return self._not_run("store_unreachable", call.queue.name)
         return Reply(Outcome.WAITING, waiting=count)
 
-    def _reply(self, verdict: Verdict, done: Outcome, request_id: str) -> Reply:
-        if verdict is Verdict.REFUSED:
+    def _reply(self, verdict: OperationResult, done: Outcome, request_id: str) -> Reply:
+        if verdict is OperationResult.REFUSED:
             return self._not_run("store_refused", request_id)
         outcomes = {
-            Verdict.DONE: done,
-            Verdict.ABSENT: Outcome.NO_JOB,
-            Verdict.UNKNOWN: Outcome.UNKNOWN,
+            OperationResult.DONE: done,
+            OperationResult.ABSENT: Outcome.NO_JOB,
+            OperationResult.UNKNOWN: Outcome.UNKNOWN,
         }
         return Reply(outcomes[verdict])
 
--- a/libs/jobs/src/bilberryhitch_jobs/job_operations.py
+++ b/libs/jobs/src/bilberryhitch_jobs/job_operations.py
@@ -49,7 +49,7 @@
     return job[-1:].lower()
 
 
-class Verdict(Enum):
+class OperationResult(Enum):
     """How an attempt to change a job ended.
 
     ``REFUSED``: nothing was stored and nothing will be.
@@ -72,7 +72,7 @@
         self._store = store
         self._now = now
 
-    async def accept(self, request: JobRequest, deadline: float) -> Verdict:
+    async def accept(self, request: JobRequest, deadline: float) -> OperationResult:
         """Store a job unless its identifier is taken.
 
         :param deadline: steady time at which the caller gives up
@@ -81,7 +81,7 @@
         job = request.job
         write = Write(JOBS, job, encode_request(request))
 
-        async def attempt(timeout_s: float) -> Verdict:
+        async def attempt(timeout_s: float) -> OperationResult:
             # A conflict means that the job is there already.
             with suppress(CommitConflict):
                 await self._store.commit(
@@ -90,7 +90,7 @@
                     part=job_part(job),
                     timeout_s=timeout_s,
                 )
-            return Verdict.DONE
+            return OperationResult.DONE
 
         verdict = await self._retry(attempt, deadline, CALL_TIMEOUT_S, job)
         log(
@@ -102,22 +102,22 @@
         )
         return verdict
 
-    async def cancel(self, job: str, account: str, deadline: float) -> Verdict:
+    async def cancel(self, job: str, account: str, deadline: float) -> OperationResult:
         """Mark a job as cancelled; the planner stops its tasks.
 
         :param account: the caller's account; empty for a public queue
         """
 
-        async def attempt(timeout_s: float) -> Verdict:
+        async def attempt(timeout_s: float) -> OperationResult:
             state = await self._view(job, account, timeout_s)
             if state is None:
-                return Verdict.ABSENT
+                return OperationResult.ABSENT
             if state not in FINISHED:
                 mark = Write(JOBS, job + CANCEL_SUFFIX, b"1")
                 await self._store.commit(
                     (), (mark,), part=job_part(job), timeout_s=timeout_s
                 )
-            return Verdict.DONE
+            return OperationResult.DONE
 
         verdict = await self._retry(attempt, deadline, CALL_TIMEOUT_S, job)
         log(events.JOB_CANCEL_ASKED, request_id=job, outcome=verdict.name.lower())
@@ -125,33 +125,35 @@
 
     async def state(
         self, job: str, account: str, deadline: float
-    ) -> tuple[Verdict, JobState | None]:
+    ) -> tuple[OperationResult, JobState | None]:
         """Read a job's state from its rows."""
         state: JobState | None = None
 
-        async def attempt(timeout_s: float) -> Verdict:
+        async def attempt(timeout_s: float) -> OperationResult:
             nonlocal state
             state = await self._view(job, account, timeout_s)
-            return Verdict.ABSENT if state is None else Verdict.DONE
+            return OperationResult.ABSENT if state is None else OperationResult.DONE
 
         verdict = await self._retry(attempt, deadline, READ_TIMEOUT_S, job)
-        return (Verdict.REFUSED if verdict is Verdict.UNKNOWN else verdict), state
+        return (
+            OperationResult.REFUSED if verdict is OperationResult.UNKNOWN else verdict
+        ), state
 
     async def waiting(self, queue: str, deadline: float) -> int | None:
         """Return how many jobs of a queue have not begun, or None if unknown."""
         found: dict[str, int] = {}
 
-        async def attempt(timeout_s: float) -> Verdict:
+        async def attempt(timeout_s: float) -> OperationResult:
             nonlocal found
             snapshot = await self._store.read(
                 SUMMARY, WAITING_KEY, WAITING_KEY + RANGE_END, timeout_s=timeout_s
             )
             if snapshot.rows:
                 found = msgspec.json.decode(snapshot.rows[0].value, type=dict[str, int])
-            return Verdict.DONE
+            return OperationResult.DONE
 
         verdict = await self._retry(attempt, deadline, READ_TIMEOUT_S, queue)
-        return found.get(queue, 0) if verdict is Verdict.DONE else None
+        return found.get(queue, 0) if verdict is OperationResult.DONE else None
 
     async def _view(self, job: str, account: str, timeout_s: float) -> JobState | None:
         """Return the state, or None for a job that the account may not see."""
@@ -182,26 +184,26 @@
 
     async def _retry(
         self,
-        attempt: Callable[[float], Awaitable[Verdict]],
+        attempt: Callable[[float], Awaitable[OperationResult]],
         deadline: float,
         timeout_s: float,
         request_id: str,
-    ) -> Verdict:
+    ) -> OperationResult:
         """Repeat an idempotent attempt until it is certain or time is up.
 
         A refusal ends the attempts unless an earlier one may have taken effect.
         """
-        worst = Verdict.REFUSED
+        worst = OperationResult.REFUSED
         while (left := deadline - self._now()) > MIN_CALL_S:
             try:
                 return await attempt(min(timeout_s, left))
             except StoreRefused as error:
                 _log_store_error(request_id, error)
-                if worst is Verdict.REFUSED:
-                    return Verdict.REFUSED
+                if worst is OperationResult.REFUSED:
+                    return OperationResult.REFUSED
             except StoreUnknown as error:
                 _log_store_error(request_id, error)
-                worst = Verdict.UNKNOWN
+                worst = OperationResult.UNKNOWN
             await asyncio.sleep(RETRY_PAUSE_S)
         return worst
 
--- a/libs/jobs/tests/test_desk.py
+++ b/libs/jobs/tests/test_desk.py
@@ -25,7 +25,7 @@
     encode_progress,
 )
 from bilberryhitch_jobs.errors import CommitConflict, StoreRefused, StoreUnknown
-from bilberryhitch_jobs.job_operations import Verdict
+from bilberryhitch_jobs.job_operations import OperationResult
 from bilberryhitch_jobs.rows import Row
 from bilberryhitch_testing import run_virtual
 
@@ -160,7 +160,7 @@
         verdicts = await asyncio.gather(
             *(acceptance.accept(request, loop.time() + 0.9) for request in requests)
         )
-        assert set(verdicts) == {Verdict.DONE}
+        assert set(verdicts) == {OperationResult.DONE}
         assert loop.time() < 4 * transaction_s
 
     run_virtual(scene())
