--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -8,8 +8,8 @@
     Queue,
     Service,
 )
-from .desk import Admitted, Desk, JobContent, Outcome, Reply
 from .follower import Follower
+from .job_api import AdmittedCall, JobApi, JobReply, JobSubmission, ReplyKind
 from .job_operations import JobOperations, OperationResult
 from .progress import (
     GANG,
@@ -36,22 +36,22 @@
     "GANG",
     "JobOperations",
     "Account",
-    "Admitted",
+    "AdmittedCall",
     "AdviceTerms",
     "Configuration",
     "Demand",
-    "Desk",
+    "JobApi",
     "Expected",
     "Follower",
-    "JobContent",
+    "JobSubmission",
     "JobProgress",
     "JobRequest",
     "JobState",
     "Limits",
-    "Outcome",
+    "ReplyKind",
     "Queue",
     "Removal",
-    "Reply",
+    "JobReply",
     "Row",
     "Schedule",
     "Service",
--- a/libs/jobs/src/bilberryhitch_jobs/desk.py
+++ b/libs/jobs/src/bilberryhitch_jobs/job_api.py
@@ -24,7 +24,7 @@
 LONG_RETRY_AFTER_S = 2
 
 
-class Outcome(Enum):
+class ReplyKind(Enum):
     """Kinds of answers to callers."""
 
     ACCEPTED = auto()
@@ -38,7 +38,7 @@
     UNKNOWN = auto()
 
 
-class Reply(NamedTuple):
+class JobReply(NamedTuple):
     """An answer to a caller.
 
     :param state: for ``STATE``
@@ -46,13 +46,13 @@
     :param retry_after_s: for ``NOT_RUN``: when another attempt may succeed
     """
 
-    outcome: Outcome
+    kind: ReplyKind
     state: JobState | None = None
     waiting: int = 0
     retry_after_s: int = 0
 
 
-class Admitted(NamedTuple):
+class AdmittedCall(NamedTuple):
     """A call that may be made.
 
     :param account: empty for a public queue
@@ -64,7 +64,7 @@
     rest: str
 
 
-class JobContent(NamedTuple):
+class JobSubmission(NamedTuple):
     """What a caller submits."""
 
     spec: str
@@ -72,7 +72,7 @@
     schedule: Schedule | None
 
 
-class Desk:
+class JobApi:
     """One entry host's answers.
 
     :param configuration: the configuration in force, or None before the first
@@ -104,17 +104,17 @@
     def _store_silence_s(self) -> float:
         return time.monotonic() - self._store_heard_at()
 
-    def admit(self, host: str, path: str, key: str | None) -> Admitted | Reply:
+    def admit(self, host: str, path: str, key: str | None) -> AdmittedCall | JobReply:
         """Find the queue of a call and the account of its caller."""
         configuration = self._configuration()
         if configuration is None:
             return self._not_run("no_configuration", path)
         queue = configuration.find_queue(host, path)
         if queue is None:
-            return Reply(Outcome.NO_QUEUE)
+            return JobReply(ReplyKind.NO_QUEUE)
         rest = path[len(queue.path_prefix) :]
         if queue.public:
-            return Admitted(queue, "", rest)
+            return AdmittedCall(queue, "", rest)
         account = configuration.accounts_by_key.get(key or "")
         if account is None:
             log(
@@ -123,12 +123,12 @@
                 queue=queue.name,
                 revision=configuration.version,
             )
-            return Reply(Outcome.UNAUTHENTICATED)
-        return Admitted(queue, account, rest)
+            return JobReply(ReplyKind.UNAUTHENTICATED)
+        return AdmittedCall(queue, account, rest)
 
     async def submit(
-        self, call: Admitted, content: JobContent, deadline: float
-    ) -> Reply:
+        self, call: AdmittedCall, content: JobSubmission, deadline: float
+    ) -> JobReply:
         """Accept a job."""
         if not self.store_reachable:
             return self._not_run("store_unreachable", call.rest)
@@ -142,38 +142,40 @@
             content.schedule,
         )
         verdict = await self._acceptance.accept(request, deadline)
-        return self._reply(verdict, Outcome.ACCEPTED, call.rest)
+        return self._reply(verdict, ReplyKind.ACCEPTED, call.rest)
 
-    async def cancel(self, call: Admitted, deadline: float) -> Reply:
+    async def cancel(self, call: AdmittedCall, deadline: float) -> JobReply:
         """Cancel a job."""
         if not self.store_reachable:
             return self._not_run("store_unreachable", call.rest)
         verdict = await self._acceptance.cancel(call.rest, call.account, deadline)
-        return self._reply(verdict, Outcome.CANCELLED, call.rest)
+        return self._reply(verdict, ReplyKind.CANCELLED, call.rest)
 
-    async def state(self, call: Admitted, deadline: float) -> Reply:
+    async def state(self, call: AdmittedCall, deadline: float) -> JobReply:
         """Tell a job's state."""
         verdict, state = await self._acceptance.state(call.rest, call.account, deadline)
-        return self._reply(verdict, Outcome.STATE, call.rest)._replace(state=state)
+        return self._reply(verdict, ReplyKind.STATE, call.rest)._replace(state=state)
 
-    async def waiting(self, call: Admitted, deadline: float) -> Reply:
+    async def waiting(self, call: AdmittedCall, deadline: float) -> JobReply:
         """Tell how many jobs of a queue have not begun."""
         count = await self._acceptance.waiting(call.queue.name, deadline)
         if count is None:
             return self._not_run("store_unreachable", call.queue.name)
-        return Reply(Outcome.WAITING, waiting=count)
+        return JobReply(ReplyKind.WAITING, waiting=count)
 
-    def _reply(self, verdict: OperationResult, done: Outcome, request_id: str) -> Reply:
+    def _reply(
+        self, verdict: OperationResult, done: ReplyKind, request_id: str
+    ) -> JobReply:
         if verdict is OperationResult.REFUSED:
             return self._not_run("store_refused", request_id)
         outcomes = {
             OperationResult.DONE: done,
-            OperationResult.ABSENT: Outcome.NO_JOB,
-            OperationResult.UNKNOWN: Outcome.UNKNOWN,
+            OperationResult.ABSENT: ReplyKind.NO_JOB,
+            OperationResult.UNKNOWN: ReplyKind.UNKNOWN,
         }
-        return Reply(outcomes[verdict])
+        return JobReply(outcomes[verdict])
 
-    def _not_run(self, reason: str, request_id: str) -> Reply:
+    def _not_run(self, reason: str, request_id: str) -> JobReply:
         silence_s = self._store_silence_s
         retry_after_s = RETRY_AFTER_S
         if silence_s > LONG_SILENCE_S:
@@ -185,4 +187,4 @@
             store_silent_s=round(min(silence_s, 1e6), 3),
             retry_after_s=retry_after_s,
         )
-        return Reply(Outcome.NOT_RUN, retry_after_s=retry_after_s)
+        return JobReply(ReplyKind.NOT_RUN, retry_after_s=retry_after_s)
--- a/libs/jobs/tests/test_desk.py
+++ b/libs/jobs/tests/test_job_api.py
@@ -9,16 +9,16 @@
     Account,
     Configuration,
     Demand,
-    Desk,
-    JobContent,
+    JobApi,
     JobOperations,
     JobProgress,
+    JobReply,
     JobRequest,
     JobState,
+    JobSubmission,
     Limits,
-    Outcome,
     Queue,
-    Reply,
+    ReplyKind,
     Snapshot,
     Step,
     decode_request,
@@ -30,7 +30,7 @@
 from bilberryhitch_testing import run_virtual
 
 JOB = "0" * 16
-CONTENT = JobContent("spec", (Step(1, Demand(1), 1.0),), None)
+CONTENT = JobSubmission("spec", (Step(1, Demand(1), 1.0),), None)
 
 
 def queue(public=False):
@@ -90,8 +90,8 @@
         return 1
 
 
-def desk(store, *, heard=0.0, config=True, public=False):
-    return Desk(
+def job_api(store, *, heard=0.0, config=True, public=False):
+    return JobApi(
         JobOperations(store),
         lambda: configuration(public) if config else None,
         lambda: time.monotonic() - heard,
@@ -100,34 +100,34 @@
 
 def submit(store, **terms):
     async def run():
-        counter = desk(store, **terms)
-        call = counter.admit("h", "/q/" + JOB, "k")
-        if isinstance(call, Reply):
+        api = job_api(store, **terms)
+        call = api.admit("h", "/q/" + JOB, "k")
+        if isinstance(call, JobReply):
             return call
-        return await counter.submit(call, CONTENT, time.monotonic() + 0.5)
+        return await api.submit(call, CONTENT, time.monotonic() + 0.5)
 
     return asyncio.run(run())
 
 
 def test_an_accepted_job_is_stored_whole():
     store = Store()
-    assert submit(store).outcome is Outcome.ACCEPTED
+    assert submit(store).kind is ReplyKind.ACCEPTED
     stored = decode_request(JOB, store.rows["jobs", "0", JOB].value)
     assert (stored.account, stored.spec, stored.steps) == ("a", "spec", CONTENT.steps)
 
 
 def test_the_same_identifier_is_one_job():
     store = Store()
-    assert submit(store).outcome is Outcome.ACCEPTED
+    assert submit(store).kind is ReplyKind.ACCEPTED
     first = dict(store.rows)
-    assert submit(store).outcome is Outcome.ACCEPTED
+    assert submit(store).kind is ReplyKind.ACCEPTED
     assert store.rows == first
 
 
 def test_a_lost_answer_is_never_called_a_refusal():
     """Guards against REFUSED: the store had taken the job."""
     store = Store("lost", "refused", "refused")
-    assert submit(store).outcome in (Outcome.ACCEPTED, Outcome.UNKNOWN)
+    assert submit(store).kind in (ReplyKind.ACCEPTED, ReplyKind.UNKNOWN)
     assert ("jobs", "0", JOB) in store.rows
 
 
@@ -168,14 +168,14 @@
 
 def test_an_unanswered_try_is_repeated_until_it_is_certain():
     store = Store("lost_undone")
-    assert submit(store).outcome is Outcome.ACCEPTED
+    assert submit(store).kind is ReplyKind.ACCEPTED
     assert store.calls >= 1
 
 
 def test_a_certain_refusal_is_told_at_once_with_a_time_to_return():
     store = Store("refused")
     reply = submit(store)
-    assert reply.outcome is Outcome.NOT_RUN
+    assert reply.kind is ReplyKind.NOT_RUN
     assert reply.retry_after_s == 1
     assert store.rows == {}
     assert store.calls == 1
@@ -185,35 +185,35 @@
     """Load: callers with four retries spent them all within an outage of 5 s."""
     store = Store()
     reply = submit(store, heard=5.0)
-    assert reply.outcome is Outcome.NOT_RUN
+    assert reply.kind is ReplyKind.NOT_RUN
     assert reply.retry_after_s == 2
     assert store.calls == 0
 
 
 @pytest.mark.parametrize(("heard", "ready"), [(0.0, True), (1.5, False), (60.0, False)])
 def test_a_host_without_the_store_sends_new_callers_elsewhere(heard, ready):
-    assert desk(Store(), heard=heard).ready is ready
+    assert job_api(Store(), heard=heard).ready is ready
 
 
 def test_a_host_without_a_configuration_refuses_and_is_not_ready():
-    counter = desk(Store(), config=False)
-    assert not counter.ready
-    assert counter.admit("h", "/q/" + JOB, "k").outcome is Outcome.NOT_RUN
+    api = job_api(Store(), config=False)
+    assert not api.ready
+    assert api.admit("h", "/q/" + JOB, "k").kind is ReplyKind.NOT_RUN
 
 
 def test_unknown_queues_and_keys_are_told_apart():
-    counter = desk(Store())
-    assert counter.admit("h", "/other/", "k").outcome is Outcome.NO_QUEUE
-    assert counter.admit("h", "/q/", "wrong").outcome is Outcome.UNAUTHENTICATED
-    assert counter.admit("h", "/q/", None).outcome is Outcome.UNAUTHENTICATED
-    assert desk(Store(), public=True).admit("h", "/q/", None).account == ""
+    api = job_api(Store())
+    assert api.admit("h", "/other/", "k").kind is ReplyKind.NO_QUEUE
+    assert api.admit("h", "/q/", "wrong").kind is ReplyKind.UNAUTHENTICATED
+    assert api.admit("h", "/q/", None).kind is ReplyKind.UNAUTHENTICATED
+    assert job_api(Store(), public=True).admit("h", "/q/", None).account == ""
 
 
 def ask(store, key, method="state"):
     async def run():
-        counter = desk(store)
-        call = counter.admit("h", "/q/" + JOB, key)
-        return await getattr(counter, method)(call, time.monotonic() + 0.5)
+        api = job_api(store)
+        call = api.admit("h", "/q/" + JOB, key)
+        return await getattr(api, method)(call, time.monotonic() + 0.5)
 
     return asyncio.run(run())
 
@@ -223,14 +223,14 @@
     store = Store()
     submit(store)
     assert ask(store, "k").state is JobState.PENDING
-    assert ask(store, "other").outcome is Outcome.NO_JOB
-    assert ask(store, "other", "cancel").outcome is Outcome.NO_JOB
+    assert ask(store, "other").kind is ReplyKind.NO_JOB
+    assert ask(store, "other", "cancel").kind is ReplyKind.NO_JOB
 
 
 def test_a_cancelled_job_is_shown_so_unless_it_had_ended():
     store = Store()
     submit(store)
-    assert ask(store, "k", "cancel").outcome is Outcome.CANCELLED
+    assert ask(store, "k", "cancel").kind is ReplyKind.CANCELLED
     assert ask(store, "k").state is JobState.CANCELLED
     done = encode_progress(JobProgress(JobState.COMPLETED, "a", {}, 5.0))
     store.put("progress", JOB, done)
