--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -8,7 +8,6 @@
     Queue,
     Service,
 )
-from .follower import Follower
 from .job_api import AdmittedCall, JobApi, JobReply, JobSubmission, ReplyKind
 from .job_operations import JobOperations, OperationResult
 from .progress import (
@@ -30,6 +29,7 @@
     TaskName,
 )
 from .rows import Expected, Removal, Row, Snapshot, Store, Write
+from .table_watcher import TableWatcher
 
 __all__ = [
     "FINISHED",
@@ -42,7 +42,7 @@
     "Demand",
     "JobApi",
     "Expected",
-    "Follower",
+    "TableWatcher",
     "JobSubmission",
     "JobProgress",
     "JobRequest",
--- a/libs/jobs/src/bilberryhitch_jobs/follower.py
+++ b/libs/jobs/src/bilberryhitch_jobs/table_watcher.py
@@ -15,7 +15,7 @@
 PAUSE_S = 0.1
 
 
-class Follower:
+class TableWatcher:
     """Keeps a reader up to date with a table.
 
     :param parts: parts of the table that hold rows
--- a/libs/planner/src/bilberryhitch_planner/lead.py
+++ b/libs/planner/src/bilberryhitch_planner/lead.py
@@ -15,8 +15,8 @@
     decode_request,
 )
 from bilberryhitch_jobs.errors import STORE_ERRORS, RowUnreadable
-from bilberryhitch_jobs.follower import Follower
 from bilberryhitch_jobs.job_operations import CANCEL_SUFFIX, JOB_PARTS, JOBS
+from bilberryhitch_jobs.table_watcher import TableWatcher
 from bilberryhitch_telemetry import events, log
 
 from .errors import Deposed, Isolated, MachinesUnknown, WorkerFenced
@@ -102,10 +102,10 @@
             on_change=self._changed,
         )
         self._version = -1
-        self._jobs = Follower(
+        self._jobs = TableWatcher(
             store, JOBS, self._load_jobs, self._take_job_row, parts=JOB_PARTS
         )
-        self._worker_rows = Follower(
+        self._worker_rows = TableWatcher(
             store, worker_table, self._load_workers, self._take_worker_row
         )
         self._inherited: dict[str, JobProgress] = {}
