--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -11,7 +11,7 @@
 from .job_api import AdmittedCall, JobApi, JobReply, JobSubmission, ReplyKind
 from .job_operations import JobOperations, OperationResult
 from .progress import (
-    GANG,
+    GANG_INDEX,
     JobProgress,
     UnitProgress,
     decode_progress,
@@ -33,7 +33,7 @@
 
 __all__ = [
     "FINISHED",
-    "GANG",
+    "GANG_INDEX",
     "JobOperations",
     "Account",
     "AdmittedCall",
--- a/libs/jobs/src/bilberryhitch_jobs/progress.py
+++ b/libs/jobs/src/bilberryhitch_jobs/progress.py
@@ -9,7 +9,7 @@
 from .records import JobRequest, JobState, Schedule, Step
 
 # Index under which the record of a whole gang is kept.
-GANG = -1
+GANG_INDEX = -1
 
 
 class UnitProgress(NamedTuple):
--- a/libs/planner/src/bilberryhitch_planner/units.py
+++ b/libs/planner/src/bilberryhitch_planner/units.py
@@ -8,7 +8,7 @@
 
 from bilberryhitch_jobs import (
     FINISHED,
-    GANG,
+    GANG_INDEX,
     Demand,
     JobProgress,
     JobRequest,
@@ -63,7 +63,7 @@
     @property
     def task_indexes(self) -> range:
         """Indexes of its tasks."""
-        if self.index == GANG:
+        if self.index == GANG_INDEX:
             return range(self.step.step.task_count)
         return range(self.index, self.index + 1)
 
@@ -98,7 +98,7 @@
         self.occurrence = occurrence
         self.index = index
         self.step: Step = job.request.steps[index]
-        indexes = [GANG] if self.step.gang else range(self.step.task_count)
+        indexes = [GANG_INDEX] if self.step.gang else range(self.step.task_count)
         known = job.initial.units
         self.units = {
             each: Unit(self, each, known.get((occurrence, index, each), UnitProgress()))
@@ -195,7 +195,7 @@
         step = self.steps.get((task.occurrence, task.step))
         if step is None or not 0 <= task.ordinal < step.step.task_count:
             return None
-        return step.units[GANG if step.step.gang else task.ordinal]
+        return step.units[GANG_INDEX if step.step.gang else task.ordinal]
 
     def demand_of(self, task: TaskName) -> Demand | None:
         """Return what a task takes, also of a job that has ended."""
--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -1,7 +1,7 @@
 """The planner against a model of workers, without a network."""
 
 from bilberryhitch_jobs import (
-    GANG,
+    GANG_INDEX,
     AdviceTerms,
     JobProgress,
     JobState,
@@ -449,7 +449,7 @@
     for order in world.starts():
         world.answer(order)
     progress = world.planner.jobs["j"].progress()
-    assert progress.units == {(0, 0, GANG): UnitProgress(False, 1)}
+    assert progress.units == {(0, 0, GANG_INDEX): UnitProgress(False, 1)}
 
 
 def test_what_is_being_stopped_of_an_ended_job_still_takes_its_room():
@@ -478,7 +478,7 @@
     """
     world = World(entry("w1"), entry("w2"), inherited=200)
     progress = JobProgress(
-        JobState.RUNNING, "a", {(0, 0, GANG): UnitProgress(False, 1, (1,))}
+        JobState.RUNNING, "a", {(0, 0, GANG_INDEX): UnitProgress(False, 1, (1,))}
     )
     world.add(request("j", step(2, gpu=8, gang=True)), progress)
     world.report("w1", running=[RunningTask(TaskName("j", 0, 0, 1), 2, "", 5.0)])
