--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -20,7 +20,7 @@
     encode_request,
 )
 from .records import (
-    FINISHED,
+    FINISHED_STATES,
     Demand,
     JobRequest,
     JobState,
@@ -32,7 +32,7 @@
 from .table_watcher import TableWatcher
 
 __all__ = [
-    "FINISHED",
+    "FINISHED_STATES",
     "GANG_INDEX",
     "JobOperations",
     "Account",
--- a/libs/jobs/src/bilberryhitch_jobs/job_operations.py
+++ b/libs/jobs/src/bilberryhitch_jobs/job_operations.py
@@ -21,7 +21,7 @@
     decode_request,
     encode_request,
 )
-from .records import FINISHED, JobRequest, JobState
+from .records import FINISHED_STATES, JobRequest, JobState
 from .rows import Expected, Store, Write
 
 JOBS = "jobs"
@@ -112,7 +112,7 @@
             state = await self._view(job, account, timeout_s)
             if state is None:
                 return OperationResult.ABSENT
-            if state not in FINISHED:
+            if state not in FINISHED_STATES:
                 mark = Write(JOBS, job + CANCEL_SUFFIX, b"1")
                 await self._store.commit(
                     (), (mark,), part=job_part(job), timeout_s=timeout_s
@@ -158,7 +158,7 @@
     async def _view(self, job: str, account: str, timeout_s: float) -> JobState | None:
         """Return the state, or None for a job that the account may not see."""
         progress = await self._progress(job, timeout_s)
-        if progress is not None and progress.state in FINISHED:
+        if progress is not None and progress.state in FINISHED_STATES:
             visible = _may_see(account, progress.account)
             return progress.state if visible else None
         snapshot = await self._store.read(
--- a/libs/jobs/src/bilberryhitch_jobs/records.py
+++ b/libs/jobs/src/bilberryhitch_jobs/records.py
@@ -16,7 +16,7 @@
     CANCELLED = "cancelled"
 
 
-FINISHED = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
+FINISHED_STATES = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
 
 
 class Demand(NamedTuple):
--- a/libs/planner/src/bilberryhitch_planner/journal.py
+++ b/libs/planner/src/bilberryhitch_planner/journal.py
@@ -10,7 +10,7 @@
 
 import msgspec
 from bilberryhitch_jobs import (
-    FINISHED,
+    FINISHED_STATES,
     Expected,
     JobProgress,
     Removal,
@@ -221,7 +221,9 @@
 
         :param progress: of jobs without a request
         """
-        ended = {name for name, each in progress.items() if each.state in FINISHED}
+        ended = {
+            name for name, each in progress.items() if each.state in FINISHED_STATES
+        }
         self._orphans |= ended
 
     def _expired(self) -> list[str]:
--- a/libs/planner/src/bilberryhitch_planner/units.py
+++ b/libs/planner/src/bilberryhitch_planner/units.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 
 from bilberryhitch_jobs import (
-    FINISHED,
+    FINISHED_STATES,
     GANG_INDEX,
     Demand,
     JobProgress,
@@ -172,7 +172,7 @@
     @property
     def finished(self) -> bool:
         """Whether nothing of it may start any more."""
-        return self.state in FINISHED
+        return self.state in FINISHED_STATES
 
     @property
     def complete(self) -> bool:
