--- a/libs/jobs/src/bilberryhitch_jobs/job_operations.py
+++ b/libs/jobs/src/bilberryhitch_jobs/job_operations.py
@@ -24,9 +24,9 @@
 from .records import FINISHED_STATES, JobRequest, JobState
 from .rows import Expected, Store, Write
 
-JOBS = "jobs"
-PROGRESS = "progress"
-SUMMARY = "summary"
+JOBS_TABLE = "jobs"
+PROGRESS_TABLE = "progress"
+SUMMARY_TABLE = "summary"
 WAITING_KEY = "waiting"
 # A cancelled job keeps its request; the mark lies beside it.
 CANCEL_SUFFIX = ".c"
@@ -79,13 +79,13 @@
         :returns: ``DONE`` also for a job that is already there
         """
         job = request.job
-        write = Write(JOBS, job, encode_request(request))
+        write = Write(JOBS_TABLE, job, encode_request(request))
 
         async def attempt(timeout_s: float) -> OperationResult:
             # A conflict means that the job is there already.
             with suppress(CommitConflict):
                 await self._store.commit(
-                    (Expected(JOBS, job, 0),),
+                    (Expected(JOBS_TABLE, job, 0),),
                     (write,),
                     part=job_part(job),
                     timeout_s=timeout_s,
@@ -113,7 +113,7 @@
             if state is None:
                 return OperationResult.ABSENT
             if state not in FINISHED_STATES:
-                mark = Write(JOBS, job + CANCEL_SUFFIX, b"1")
+                mark = Write(JOBS_TABLE, job + CANCEL_SUFFIX, b"1")
                 await self._store.commit(
                     (), (mark,), part=job_part(job), timeout_s=timeout_s
                 )
@@ -146,7 +146,7 @@
         async def attempt(timeout_s: float) -> OperationResult:
             nonlocal found
             snapshot = await self._store.read(
-                SUMMARY, WAITING_KEY, WAITING_KEY + RANGE_END, timeout_s=timeout_s
+                SUMMARY_TABLE, WAITING_KEY, WAITING_KEY + RANGE_END, timeout_s=timeout_s
             )
             if snapshot.rows:
                 found = msgspec.json.decode(snapshot.rows[0].value, type=dict[str, int])
@@ -162,7 +162,7 @@
             visible = _may_see(account, progress.account)
             return progress.state if visible else None
         snapshot = await self._store.read(
-            JOBS, job, job + RANGE_END, part=job_part(job), timeout_s=timeout_s
+            JOBS_TABLE, job, job + RANGE_END, part=job_part(job), timeout_s=timeout_s
         )
         rows = {row.key: row.value for row in snapshot.rows}
         if job not in rows:
@@ -176,7 +176,7 @@
 
     async def _progress(self, job: str, timeout_s: float) -> JobProgress | None:
         snapshot = await self._store.read(
-            PROGRESS, job, job + RANGE_END, timeout_s=timeout_s
+            PROGRESS_TABLE, job, job + RANGE_END, timeout_s=timeout_s
         )
         if not snapshot.rows:
             return None
--- a/libs/planner/src/bilberryhitch_planner/journal.py
+++ b/libs/planner/src/bilberryhitch_planner/journal.py
@@ -28,9 +28,9 @@
 )
 from bilberryhitch_jobs.job_operations import (
     CANCEL_SUFFIX,
-    JOBS,
-    PROGRESS,
-    SUMMARY,
+    JOBS_TABLE,
+    PROGRESS_TABLE,
+    SUMMARY_TABLE,
     WAITING_KEY,
     job_part,
 )
@@ -82,7 +82,7 @@
 
 async def read_progress(store: Store) -> dict[str, JobProgress]:
     """Return the progress of all jobs that an earlier planner has begun or ended."""
-    snapshot = await store.read(PROGRESS, timeout_s=READ_TIMEOUT_S)
+    snapshot = await store.read(PROGRESS_TABLE, timeout_s=READ_TIMEOUT_S)
     found = {}
     for row in snapshot.rows:
         try:
@@ -206,7 +206,10 @@
         while True:
             await asyncio.sleep(SWEEP_PERIOD_S)
             for name in self._expired():
-                rows = (Removal(JOBS, name), Removal(JOBS, name + CANCEL_SUFFIX))
+                rows = (
+                    Removal(JOBS_TABLE, name),
+                    Removal(JOBS_TABLE, name + CANCEL_SUFFIX),
+                )
                 try:
                     await self._store.commit(
                         (), (), rows, part=job_part(name), timeout_s=CALL_TIMEOUT_S
@@ -318,7 +321,7 @@
     def _progress_writes(self, names: set[str]) -> list[Write]:
         jobs = self._planner.jobs
         return [
-            Write(PROGRESS, name, encode_progress(jobs[name].progress()))
+            Write(PROGRESS_TABLE, name, encode_progress(jobs[name].progress()))
             for name in sorted(names)
             if name in jobs
         ]
@@ -339,7 +342,7 @@
         value = msgspec.json.encode(self._planner.waiting_counts(), order="sorted")
         if value == self._summary:
             return []
-        return [Write(SUMMARY, WAITING_KEY, value)]
+        return [Write(SUMMARY_TABLE, WAITING_KEY, value)]
 
     def _roster_write(self, roster: frozenset[str]) -> list[Write]:
         """Return the row that tells a successor which workers to ask."""
@@ -349,7 +352,9 @@
 
     def _removals(self) -> list[Removal]:
         """Return the progress of jobs that nobody can ask for any more."""
-        return [Removal(PROGRESS, name) for name in sorted(self._orphans)[:MOST_SWEPT]]
+        return [
+            Removal(PROGRESS_TABLE, name) for name in sorted(self._orphans)[:MOST_SWEPT]
+        ]
 
     def _resolve(self, conflict: CommitConflict) -> None:
         row = next(iter(conflict.rows), None)
