--- a/libs/jobs/src/bilberryhitch_jobs/job_operations.py
+++ b/libs/jobs/src/bilberryhitch_jobs/job_operations.py
@@ -34,7 +34,7 @@
 RANGE_END = "/"
 # The store applies the changes of a part one after another. Jobs are spread over these
 # parts by their last digit, so that a slow store takes many at a time.
-JOB_PARTS = tuple("0123456789abcdef")
+JOB_PARTITIONS = tuple("0123456789abcdef")
 
 # One lost answer must leave time for a second try within a caller's 3 s.
 CALL_TIMEOUT_S = 0.9
@@ -44,7 +44,7 @@
 MIN_CALL_S = 0.02
 
 
-def job_part(job: str) -> str:
+def job_partition(job: str) -> str:
     """Return the part that holds a job's request and its cancellation."""
     return job[-1:].lower()
 
@@ -87,7 +87,7 @@
                 await self._store.commit(
                     (Expected(JOBS_TABLE, job, 0),),
                     (write,),
-                    part=job_part(job),
+                    partition=job_partition(job),
                     timeout_s=timeout_s,
                 )
             return OperationResult.DONE
@@ -115,7 +115,7 @@
             if state not in FINISHED_STATES:
                 mark = Write(JOBS_TABLE, job + CANCEL_SUFFIX, b"1")
                 await self._store.commit(
-                    (), (mark,), part=job_part(job), timeout_s=timeout_s
+                    (), (mark,), partition=job_partition(job), timeout_s=timeout_s
                 )
             return OperationResult.DONE
 
@@ -162,7 +162,11 @@
             visible = _may_see(account, progress.account)
             return progress.state if visible else None
         snapshot = await self._store.read(
-            JOBS_TABLE, job, job + RANGE_END, part=job_part(job), timeout_s=timeout_s
+            JOBS_TABLE,
+            job,
+            job + RANGE_END,
+            partition=job_partition(job),
+            timeout_s=timeout_s,
         )
         rows = {row.key: row.value for row in snapshot.rows}
         if job not in rows:
--- a/libs/jobs/src/bilberryhitch_jobs/rows.py
+++ b/libs/jobs/src/bilberryhitch_jobs/rows.py
@@ -60,7 +60,7 @@
         first: str = "",
         last: str = "",
         *,
-        part: str = "",
+        partition: str = "",
         timeout_s: float,
     ) -> Snapshot:
         """Return a part's rows with ``first`` <= key < ``last`` in order of keys."""
@@ -77,7 +77,7 @@
         writes: Sequence[Write],
         removals: Sequence[Removal] = (),
         *,
-        part: str = "",
+        partition: str = "",
         timeout_s: float,
     ) -> int:
         """Apply all changes to one part or none; return the store's new version.
--- a/libs/jobs/src/bilberryhitch_jobs/table_watcher.py
+++ b/libs/jobs/src/bilberryhitch_jobs/table_watcher.py
@@ -18,7 +18,7 @@
 class TableWatcher:
     """Keeps a reader up to date with a table.
 
-    :param parts: parts of the table that hold rows
+    :param partitions: partitions of the table that hold rows
     :param on_snapshot: receives all rows, first and after a loss of history
     :param on_row: receives each row that changed or was removed
     """
@@ -30,14 +30,14 @@
         on_snapshot: Callable[[tuple[Row, ...], int], None],
         on_row: Callable[[Row], None],
         *,
-        parts: Sequence[str] = ("",),
+        partitions: Sequence[str] = ("",),
     ) -> None:
         self.heard_at = float("-inf")
         self._store = store
         self._table = table
         self._on_snapshot = on_snapshot
         self._on_row = on_row
-        self._parts = parts
+        self._partitions = partitions
         self._revision: int | None = None
         self._lost = False
 
@@ -59,7 +59,7 @@
         :raises HistoryLost: if the changes are no longer kept
         """
         if self._revision is None:
-            snapshot = await read_parts(self._store, self._table, self._parts)
+            snapshot = await read_partitions(self._store, self._table, self._partitions)
             self._heard()
             self._revision = snapshot.revision
             self._on_snapshot(snapshot.rows, snapshot.revision)
@@ -86,14 +86,19 @@
             )
 
 
-async def read_parts(store: Store, table: str, parts: Sequence[str]) -> Snapshot:
-    """Return the rows of all parts.
+async def read_partitions(
+    store: Store, table: str, partitions: Sequence[str]
+) -> Snapshot:
+    """Return the rows of all partitions.
 
-    The parts are read at moments of their own; a watch from the earliest repeats what
-    changed in between.
+    Each partition is read at its own revision; a watch from the lowest of them repeats
+    the changes made in between.
     """
     snapshots = await asyncio.gather(
-        *(store.read(table, part=part, timeout_s=READ_TIMEOUT_S) for part in parts)
+        *(
+            store.read(table, partition=partition, timeout_s=READ_TIMEOUT_S)
+            for partition in partitions
+        )
     )
     rows = tuple(row for snapshot in snapshots for row in snapshot.rows)
     return Snapshot(rows, min(snapshot.revision for snapshot in snapshots))
--- a/libs/jobs/tests/test_job_api.py
+++ b/libs/jobs/tests/test_job_api.py
@@ -62,27 +62,29 @@
         if failure == "lost" or not done:
             raise StoreUnknown("call", failure)
 
-    def put(self, table, key, value, part=""):
-        self.rows[table, part, key] = Row(table, key, value, 1)
+    def put(self, table, key, value, partition=""):
+        self.rows[table, partition, key] = Row(table, key, value, 1)
 
-    async def read(self, table, first="", last="", *, part="", timeout_s):
+    async def read(self, table, first="", last="", *, partition="", timeout_s):
         self._fail(done=False)
         rows = [
             row
             for (held, where, key), row in sorted(self.rows.items())
-            if first <= key < last and (held, where) == (table, part)
+            if first <= key < last and (held, where) == (table, partition)
         ]
         return Snapshot(tuple(rows), 1)
 
-    async def commit(self, expected, writes, removals=(), *, part="", timeout_s):
+    async def commit(self, expected, writes, removals=(), *, partition="", timeout_s):
         failing = self.failures[:1]
         if failing not in (["refused"], ["lost_undone"]):
-            present = [(each.table, part, each.key) in self.rows for each in expected]
+            present = [
+                (each.table, partition, each.key) in self.rows for each in expected
+            ]
             if any(present):
                 self._fail(done=True)
                 raise CommitConflict(())
             for each in writes:
-                self.put(each.table, each.key, each.value, part)
+                self.put(each.table, each.key, each.value, partition)
         if failing == ["lost_undone"]:
             self.failures.pop(0)
             raise StoreUnknown("call", "lost")
@@ -142,11 +144,13 @@
             super().__init__()
             self.locks = defaultdict(asyncio.Lock)
 
-        async def commit(self, expected, writes, removals=(), *, part="", timeout_s):
-            async with self.locks[part]:
+        async def commit(
+            self, expected, writes, removals=(), *, partition="", timeout_s
+        ):
+            async with self.locks[partition]:
                 await asyncio.sleep(transaction_s)
             return await super().commit(
-                expected, writes, removals, part=part, timeout_s=timeout_s
+                expected, writes, removals, partition=partition, timeout_s=timeout_s
             )
 
     async def scene():
--- a/libs/planner/src/bilberryhitch_planner/journal.py
+++ b/libs/planner/src/bilberryhitch_planner/journal.py
@@ -32,7 +32,7 @@
     PROGRESS_TABLE,
     SUMMARY_TABLE,
     WAITING_KEY,
-    job_part,
+    job_partition,
 )
 from bilberryhitch_telemetry import events, log
 
@@ -212,7 +212,11 @@
                 )
                 try:
                     await self._store.commit(
-                        (), (), rows, part=job_part(name), timeout_s=CALL_TIMEOUT_S
+                        (),
+                        (),
+                        rows,
+                        partition=job_partition(name),
+                        timeout_s=CALL_TIMEOUT_S,
                     )
                 except STORE_ERRORS as error:
                     log(events.SWEEP_FAILED, request_id=name, error=error)
--- a/libs/planner/src/bilberryhitch_planner/lead.py
+++ b/libs/planner/src/bilberryhitch_planner/lead.py
@@ -15,7 +15,7 @@
     decode_request,
 )
 from bilberryhitch_jobs.errors import STORE_ERRORS, RowUnreadable
-from bilberryhitch_jobs.job_operations import CANCEL_SUFFIX, JOB_PARTS, JOBS_TABLE
+from bilberryhitch_jobs.job_operations import CANCEL_SUFFIX, JOB_PARTITIONS, JOBS_TABLE
 from bilberryhitch_jobs.table_watcher import TableWatcher
 from bilberryhitch_telemetry import events, log
 
@@ -103,7 +103,11 @@
         )
         self._version = -1
         self._jobs = TableWatcher(
-            store, JOBS_TABLE, self._load_jobs, self._take_job_row, parts=JOB_PARTS
+            store,
+            JOBS_TABLE,
+            self._load_jobs,
+            self._take_job_row,
+            partitions=JOB_PARTITIONS,
         )
         self._worker_rows = TableWatcher(
             store, worker_table, self._load_workers, self._take_worker_row
--- a/libs/planner/tests/test_tenure.py
+++ b/libs/planner/tests/test_tenure.py
@@ -32,7 +32,7 @@
         self.revision = 0
         self.lose = 0
 
-    async def read(self, table, first="", last="", *, part="", timeout_s):
+    async def read(self, table, first="", last="", *, partition="", timeout_s):
         rows = tuple(row for key, row in sorted(self.rows.items()) if key[0] == table)
         return Snapshot(rows, self.revision)
 
@@ -46,7 +46,7 @@
             await asyncio.sleep(0.05)
             waited += 0.05
 
-    async def commit(self, expected, writes, removals=(), *, part="", timeout_s):
+    async def commit(self, expected, writes, removals=(), *, partition="", timeout_s):
         for each in expected:
             row = self.rows.get((each.table, each.key))
             if (row.revision if row else 0) != each.revision:
