--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -21,9 +21,9 @@
 )
 from .records import (
     FINISHED_STATES,
-    Demand,
     JobRequest,
     JobState,
+    Resources,
     Schedule,
     Step,
     TaskName,
@@ -39,7 +39,7 @@
     "AdmittedCall",
     "AdviceTerms",
     "Configuration",
-    "Demand",
+    "Resources",
     "JobApi",
     "Expected",
     "TableWatcher",
--- a/libs/jobs/src/bilberryhitch_jobs/records.py
+++ b/libs/jobs/src/bilberryhitch_jobs/records.py
@@ -19,7 +19,7 @@
 FINISHED_STATES = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
 
 
-class Demand(NamedTuple):
+class Resources(NamedTuple):
     """Capacity of a worker, or what one task takes of it.
 
     :param cpu: thousandths of a core
@@ -39,13 +39,13 @@
 
     def plus(self, other: "Demand") -> "Demand":
         """Return the sum."""
-        return Demand(
+        return Resources(
             self.cpu + other.cpu, self.memory + other.memory, self.gpu + other.gpu
         )
 
     def minus(self, other: "Demand") -> "Demand":
         """Return the difference."""
-        return Demand(
+        return Resources(
             self.cpu - other.cpu, self.memory - other.memory, self.gpu - other.gpu
         )
 
@@ -71,7 +71,7 @@
     """
 
     task_count: int
-    demand: Demand
+    demand: Resources
     estimate_s: float
     after: tuple[int, ...] = ()
     gang: bool = False
@@ -88,7 +88,7 @@
     fills: bool = False
 
     @property
-    def booked(self) -> Demand:
+    def booked(self) -> Resources:
         """What a task takes of its worker's capacity."""
         return self.demand._replace(cpu=0) if self.fills else self.demand
 
--- a/libs/jobs/tests/test_job_api.py
+++ b/libs/jobs/tests/test_job_api.py
@@ -8,7 +8,6 @@
 from bilberryhitch_jobs import (
     Account,
     Configuration,
-    Demand,
     JobApi,
     JobOperations,
     JobProgress,
@@ -19,6 +18,7 @@
     Limits,
     Queue,
     ReplyKind,
+    Resources,
     Snapshot,
     Step,
     decode_request,
@@ -30,7 +30,7 @@
 from bilberryhitch_testing import run_virtual
 
 JOB = "0" * 16
-CONTENT = JobSubmission("spec", (Step(1, Demand(1), 1.0),), None)
+CONTENT = JobSubmission("spec", (Step(1, Resources(1), 1.0),), None)
 
 
 def queue(public=False):
--- a/libs/planner/src/bilberryhitch_planner/placement.py
+++ b/libs/planner/src/bilberryhitch_planner/placement.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from bilberryhitch_jobs import Demand, Step
+from bilberryhitch_jobs import Resources, Step
 
 from .speeds import DISTURBED
 from .units import Unit
@@ -37,7 +37,7 @@
     return frozenset(sorted(idle)[: int(len(workers) * HEADROOM_SHARE)])
 
 
-def slots(free: Demand, step: Step, booked: int = 0) -> int:
+def slots(free: Resources, step: Step, booked: int = 0) -> int:
     """Return how many tasks of a step fit into free capacity."""
     # The innermost loop of planning: plain comparisons are twice as fast as min().
     demand = step.demand
--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -8,11 +8,11 @@
 
 from bilberryhitch_jobs import (
     Configuration,
-    Demand,
     JobProgress,
     JobRequest,
     JobState,
     Queue,
+    Resources,
 )
 from bilberryhitch_telemetry import events, log
 
@@ -352,7 +352,7 @@
     def add_doubtful(self, name: str, *, now: float) -> None:
         """Note an unregistered worker on which something may still run."""
         if name not in self.workers:
-            entry = WorkerEntry(name, "", "", "", Demand(), frozenset(), "")
+            entry = WorkerEntry(name, "", "", "", Resources(), frozenset(), "")
             worker = Worker(entry, now)
             worker.lease_until = max(now, self._inherited_until)
             worker.listed = False
--- a/libs/planner/src/bilberryhitch_planner/reports.py
+++ b/libs/planner/src/bilberryhitch_planner/reports.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from bilberryhitch_jobs import Demand, TaskName
+from bilberryhitch_jobs import Resources, TaskName
 
 
 class EndKind(StrEnum):
@@ -32,7 +32,7 @@
     service: str
     address: str
     data_centre: str
-    capacity: Demand
+    capacity: Resources
     labels: frozenset[str]
     rack: str
     draining: bool = False
--- a/libs/planner/src/bilberryhitch_planner/reservations.py
+++ b/libs/planner/src/bilberryhitch_planner/reservations.py
@@ -9,7 +9,7 @@
 from operator import itemgetter
 from typing import NamedTuple
 
-from bilberryhitch_jobs import Demand, Step
+from bilberryhitch_jobs import Resources, Step
 
 from .placement import bound_groups, slots
 from .runs import Run, RunState
@@ -53,7 +53,7 @@
         self._by_unit: dict[int, Reservation] = {}
         self._by_worker: dict[str, Reservation] = {}
         self._gangs = 0
-        self._releases: dict[str, list[tuple[float, Demand]]] = {}
+        self._releases: dict[str, list[tuple[float, Resources]]] = {}
 
     def allows(self, worker: Worker, unit: Unit) -> bool:
         """Return whether a unit may use a worker.
@@ -133,7 +133,7 @@
             free_at, free = end, free.plus(demand)
         return free_at, slots(free, step)
 
-    def _ends(self, worker: Worker) -> list[tuple[float, Demand]]:
+    def _ends(self, worker: Worker) -> list[tuple[float, Resources]]:
         """Return when a worker's runs should end and what they release."""
         name = worker.entry.worker
         if name not in self._releases:
--- a/libs/planner/src/bilberryhitch_planner/runs.py
+++ b/libs/planner/src/bilberryhitch_planner/runs.py
@@ -3,7 +3,7 @@
 from enum import Enum, auto
 from typing import TYPE_CHECKING
 
-from bilberryhitch_jobs import Demand, TaskName
+from bilberryhitch_jobs import Resources, TaskName
 
 if TYPE_CHECKING:
     from .units import Unit
@@ -56,7 +56,7 @@
         self,
         task: TaskName,
         number: int,
-        demand: Demand,
+        demand: Resources,
         worker: str,
         unit: "Unit | None",
         now: float,
--- a/libs/planner/src/bilberryhitch_planner/units.py
+++ b/libs/planner/src/bilberryhitch_planner/units.py
@@ -9,11 +9,11 @@
 from bilberryhitch_jobs import (
     FINISHED_STATES,
     GANG_INDEX,
-    Demand,
     JobProgress,
     JobRequest,
     JobState,
     Queue,
+    Resources,
     Step,
     TaskName,
     UnitProgress,
@@ -197,7 +197,7 @@
             return None
         return step.units[GANG_INDEX if step.step.gang else task.ordinal]
 
-    def demand_of(self, task: TaskName) -> Demand | None:
+    def demand_of(self, task: TaskName) -> Resources | None:
         """Return what a task takes, also of a job that has ended."""
         if not 0 <= task.step < len(self.request.steps):
             return None
--- a/libs/standins/src/bilberryhitch_standins/task_workers.py
+++ b/libs/standins/src/bilberryhitch_standins/task_workers.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from bilberryhitch_jobs import Demand, TaskName
+from bilberryhitch_jobs import Resources, TaskName
 from bilberryhitch_planner import (
     EndedTask,
     EndKind,
@@ -28,7 +28,7 @@
     """
 
     work_s: float
-    demand: Demand = Demand()
+    demand: Resources = Resources()
     gang_size: int = 1
     fails: bool = False
     save_s: float = 0.0
@@ -320,8 +320,8 @@
         )
         self._lease = until if self._lease == float("inf") else max(self._lease, until)
 
-    def _used(self) -> Demand:
-        used = Demand()
+    def _used(self) -> Resources:
+        used = Resources()
         for run in self._runs.values():
             used = used.plus(run.truth.demand)
         return used
--- a/libs/testing/src/bilberryhitch_testing/planner_world.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_world.py
@@ -6,12 +6,12 @@
 from bilberryhitch_jobs import (
     Account,
     Configuration,
-    Demand,
     JobProgress,
     JobRequest,
     JobState,
     Limits,
     Queue,
+    Resources,
     Schedule,
     Step,
 )
@@ -28,7 +28,7 @@
 from bilberryhitch_planner.reports import Order
 
 UNIX = 1_000_000.0
-CAPACITY = Demand(32_000, 64_000, 8)
+CAPACITY = Resources(32_000, 64_000, 8)
 LEASE_S = 10.0
 
 
@@ -41,7 +41,7 @@
 
 def step(count: int = 1, gpu: int = 1, **terms: Any) -> Step:
     """Return a step of equal tasks of about two seconds."""
-    return Step(count, Demand(1_000, 1_000, gpu), 2.0, **terms)
+    return Step(count, Resources(1_000, 1_000, gpu), 2.0, **terms)
 
 
 def configuration(guaranteed: int = 0) -> Configuration:
--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -17,12 +17,12 @@
 from bilberryhitch_jobs import (
     Account,
     Configuration,
-    Demand,
     JobProgress,
     JobRequest,
     JobState,
     Limits,
     Queue,
+    Resources,
     Step,
     TaskName,
 )
@@ -51,7 +51,7 @@
     steps: float
     width: float
     most: int
-    demand: Demand
+    demand: Resources
     gpus: tuple[int, ...]
     work_s: float
     work_spread: float
@@ -69,7 +69,7 @@
 
     workers: int
     rack: int
-    capacity: Demand
+    capacity: Resources
     save_s: float
     accounts: int
     kinds: tuple[Kind, ...]
@@ -137,8 +137,8 @@
     scale = cores / 32
     gpus = (1, 2, 4, 8, 8)
 
-    def demand(cpu: int, mem: int) -> Demand:
-        return Demand(int(cpu * scale), int(mem * memory / 64), 0)
+    def demand(cpu: int, mem: int) -> Resources:
+        return Resources(int(cpu * scale), int(mem * memory / 64), 0)
 
     long_worth, batch_late = (0.3, 0.1) if agency else (1.5, 0.5)
     long_work = 8.5 if agency and not grown else 6.8
@@ -146,7 +146,7 @@
     return Deployment(
         176 if grown else 24,
         (20 if agency else 12) if grown else (8 if agency else 6),
-        Demand(cores * 1000, memory * 1024, 8),
+        Resources(cores * 1000, memory * 1024, 8),
         2.0 if agency else 0.5,
         10 if grown else 4,
         (
--- a/tests/adapter/test_decoding.py
+++ b/tests/adapter/test_decoding.py
@@ -8,7 +8,7 @@
     decode_job,
     decode_worker,
 )
-from bilberryhitch_jobs import Demand, Row, Schedule, TaskName
+from bilberryhitch_jobs import Resources, Row, Schedule, TaskName
 from bilberryhitch_model.errors import BadInput
 from bilberryhitch_planner import EndKind
 
@@ -31,7 +31,7 @@
     worker = decode_worker(row(ENTRY))
     assert worker.worker == "i-1"
     assert worker.rack == "r1-3"
-    assert worker.capacity == Demand(16000, 32768, 8)
+    assert worker.capacity == Resources(16000, 32768, 8)
     assert not worker.draining
 
 
@@ -86,7 +86,7 @@
         )
     )
     first, second = content.steps
-    assert first.demand == Demand(500, 256, 1)
+    assert first.demand == Resources(500, 256, 1)
     assert (first.gang, first.same_rack, first.data_rack) == (True, True, "r1-1")
     assert (first.required_label, first.spread, first.estimate_s) == ("a", 2, 0.9)
     assert (second.after, second.lasting) == ((0,), True)
--- a/tests/adapter/test_machines.py
+++ b/tests/adapter/test_machines.py
@@ -10,7 +10,7 @@
 from bilberryhitch_adapter.machines import MachineClient
 from bilberryhitch_adapter.workers import WorkerClient
 from bilberryhitch_adapter_standins import Listener
-from bilberryhitch_jobs import Demand, TaskName
+from bilberryhitch_jobs import Resources, TaskName
 from bilberryhitch_model.errors import BadInput
 from bilberryhitch_planner import (
     Machine,
@@ -112,7 +112,9 @@
         await listener.start()
         client = WorkerClient()
         await client.start()
-        worker = WorkerEntry("i-1", "p", listener.address, "dc", Demand(), set(), "r")
+        worker = WorkerEntry(
+            "i-1", "p", listener.address, "dc", Resources(), set(), "r"
+        )
         order = PaceOrder("i-1", TaskName("0" * 16, 0, 1, 2), 3, 40)
         try:
             assert await client.pace_run(worker, order, token=7) is taken
--- a/tests/path/platform_deployment.py
+++ b/tests/path/platform_deployment.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 from bilberryhitch_adapter_standins import FleetStandin, StoreStandin
-from bilberryhitch_jobs import Demand
+from bilberryhitch_jobs import Resources
 from bilberryhitch_standins.task_workers import TaskTruth, WorkerTerms
 
 TERMS = WorkerTerms(stop_s=0.1)
@@ -55,7 +55,7 @@
         self.store = StoreStandin(rng)
         self.fleet = FleetStandin(
             self.store,
-            lambda task: TaskTruth(work_s, Demand(1000, 1000, 1), gang_size=1),
+            lambda task: TaskTruth(work_s, Resources(1000, 1000, 1), gang_size=1),
             rng,
             TERMS,
         )
