--- a/libs/jobs/src/bilberryhitch_jobs/progress.py
+++ b/libs/jobs/src/bilberryhitch_jobs/progress.py
@@ -18,13 +18,13 @@
     :param done: a run of it has ended successfully
     :param last_run: highest run number used so far
     :param failed_runs: run numbers that ended in failure; a number is counted once
-    :param saved: last checkpoint; empty for none
+    :param checkpoint: last checkpoint; empty for none
     """
 
     done: bool = False
     last_run: int = 0
     failed_runs: tuple[int, ...] = ()
-    saved: str = ""
+    checkpoint: str = ""
 
 
 class JobProgress(NamedTuple):
@@ -73,7 +73,13 @@
             progress.account,
             progress.finished_s,
             [
-                (*key, unit.done, unit.last_run, list(unit.failed_runs), unit.saved)
+                (
+                    *key,
+                    unit.done,
+                    unit.last_run,
+                    list(unit.failed_runs),
+                    unit.checkpoint,
+                )
                 for key, unit in units
             ],
         )
--- a/libs/jobs/src/bilberryhitch_jobs/records.py
+++ b/libs/jobs/src/bilberryhitch_jobs/records.py
@@ -31,19 +31,19 @@
     memory: int = 0
     gpu: int = 0
 
-    def fits(self, free: "Demand") -> bool:
+    def fits(self, free: "Resources") -> bool:
         """Return whether this much is free."""
         return (
             self.cpu <= free.cpu and self.memory <= free.memory and self.gpu <= free.gpu
         )
 
-    def plus(self, other: "Demand") -> "Demand":
+    def plus(self, other: "Resources") -> "Resources":
         """Return the sum."""
         return Resources(
             self.cpu + other.cpu, self.memory + other.memory, self.gpu + other.gpu
         )
 
-    def minus(self, other: "Demand") -> "Demand":
+    def minus(self, other: "Resources") -> "Resources":
         """Return the difference."""
         return Resources(
             self.cpu - other.cpu, self.memory - other.memory, self.gpu - other.gpu
@@ -55,53 +55,53 @@
 
     :param demand: what each task takes of its worker
     :param estimate_s: rough duration of a task
-    :param after: indexes of the steps that must be done first
+    :param depends_on: indexes of the steps that must be done first
     :param gang: the tasks run together or not at all
     :param same_rack: the tasks are slower on more than one rack
     :param required_label: label of every worker that may run a task; may be empty
     :param data_rack: rack on which the tasks are not slowed down; may be empty
-    :param spread: most tasks of one occurrence on a worker; 0 for no bound
+    :param max_tasks_per_worker: per occurrence; 0 for no limit
     :param saves_progress: a stopped task resumes from its last checkpoint
-    :param copies_allowed: a task may run twice at a time
-    :param lasting: tasks run until the job is cancelled
-    :param may_miss: tasks of a lasting step that may be stopped at a time
+    :param speculative: a task may run twice at a time
+    :param long_running: tasks run until the job is cancelled
+    :param max_unavailable: tasks of a lasting step that may be stopped at a time
     :param image: tasks of the same image behave alike
-    :param target_s: latency bound of a lasting task's own users; 0 for none
-    :param fills: tasks take the processor time that others leave
+    :param latency_target_s: latency bound of a lasting task's own users; 0 for none
+    :param uses_idle_cpu: tasks take the processor time that others leave
     """
 
     task_count: int
     demand: Resources
     estimate_s: float
-    after: tuple[int, ...] = ()
+    depends_on: tuple[int, ...] = ()
     gang: bool = False
     same_rack: bool = False
     required_label: str = ""
     data_rack: str = ""
-    spread: int = 0
+    max_tasks_per_worker: int = 0
     saves_progress: bool = False
-    copies_allowed: bool = False
-    lasting: bool = False
-    may_miss: int = 0
+    speculative: bool = False
+    long_running: bool = False
+    max_unavailable: int = 0
     image: str = ""
-    target_s: float = 0.0
-    fills: bool = False
+    latency_target_s: float = 0.0
+    uses_idle_cpu: bool = False
 
     @property
-    def booked(self) -> Resources:
+    def reserved_resources(self) -> Resources:
         """What a task takes of its worker's capacity."""
-        return self.demand._replace(cpu=0) if self.fills else self.demand
+        return self.demand._replace(cpu=0) if self.uses_idle_cpu else self.demand
 
 
 class Schedule(NamedTuple):
     """Times at which a job's steps run.
 
-    :param repeats: number of occurrences
+    :param repeat_count: number of occurrences
     :param start_s: due time of the first one, in seconds of Unix time
     :param interval_s: time between two of them
     """
 
-    repeats: int
+    repeat_count: int
     start_s: float
     interval_s: float
 
@@ -128,7 +128,7 @@
     @property
     def occurrences(self) -> int:
         """Number of times that the steps run."""
-        return self.schedule.repeats if self.schedule else 1
+        return self.schedule.repeat_count if self.schedule else 1
 
     def due_s(self, occurrence: int) -> float:
         """Return the Unix time before which an occurrence must not start."""
--- a/libs/planner/src/bilberryhitch_planner/books.py
+++ b/libs/planner/src/bilberryhitch_planner/books.py
@@ -145,12 +145,12 @@
         self.dirty.add(job.request.job)
         if not job.begun:
             job.state = JobState.RUNNING
-        if how is EndKind.DONE and not step.step.lasting:
+        if how is EndKind.DONE and not step.step.long_running:
             self._complete(unit, now, unix_s)
             return
         if saved and number == unit.last_run:
             unit.saved = saved
-        if how is EndKind.FAILED and not step.step.lasting:
+        if how is EndKind.FAILED and not step.step.long_running:
             unit.failed_runs.add(number)
             if unit.attempts_left <= 0:
                 self.finish(job, JobState.FAILED, unix_s)
@@ -262,9 +262,9 @@
         if (
             run.state is not RunState.RUNNING
             or unit is None
-            or unit.step.step.lasting
+            or unit.step.step.long_running
             # Its processor time is what others leave, which may be nothing.
-            or unit.step.step.fills
+            or unit.step.step.uses_idle_cpu
             # A gang's faster members wait for the others with their work done.
             or run.percent >= ALL_DONE_PERCENT
             or worker.answered_at - run.advanced_at < _stall_s(unit, run)
--- a/libs/planner/src/bilberryhitch_planner/guarantees.py
+++ b/libs/planner/src/bilberryhitch_planner/guarantees.py
@@ -44,7 +44,7 @@
     def allows_eviction(self, unit: Unit) -> bool:
         """Return whether a unit uses what is guaranteed to nobody or to others."""
         job = unit.step.job
-        if unit.step.step.lasting:
+        if unit.step.step.long_running:
             return False
         if job.queue.priority > 0:
             return True
--- a/libs/planner/src/bilberryhitch_planner/placement.py
+++ b/libs/planner/src/bilberryhitch_planner/placement.py
@@ -41,8 +41,12 @@
     """Return how many tasks of a step fit into free capacity."""
     # The innermost loop of planning: plain comparisons are twice as fast as min().
     demand = step.demand
-    most = step.spread - booked if step.spread else step.task_count
-    if demand.cpu and not step.fills and free.cpu < most * demand.cpu:
+    most = (
+        step.max_tasks_per_worker - booked
+        if step.max_tasks_per_worker
+        else step.task_count
+    )
+    if demand.cpu and not step.uses_idle_cpu and free.cpu < most * demand.cpu:
         most = free.cpu // demand.cpu
     if demand.memory and free.memory < most * demand.memory:
         most = free.memory // demand.memory
@@ -121,7 +125,7 @@
     :param anywhere: a rack without the task's data will do
     """
     step = unit.step.step
-    booked = _booked(unit) if step.spread else {}
+    booked = _booked(unit) if step.max_tasks_per_worker else {}
     best: tuple[tuple[object, ...], Worker] | None = None
     for worker in workers:
         away = bool(step.data_rack) and worker.entry.rack != step.data_rack
--- a/libs/planner/src/bilberryhitch_planner/rounds.py
+++ b/libs/planner/src/bilberryhitch_planner/rounds.py
@@ -125,7 +125,7 @@
         unit.last_run += 1
         step.waiting.pop(unit.index, None)
         self._books.kept.release(unit)
-        demand = step.step.booked
+        demand = step.step.reserved_resources
         permissions = self._books.permissions_of(step)
         for index, worker in members.items():
             name = worker.entry.worker
--- a/libs/planner/src/bilberryhitch_planner/sharing.py
+++ b/libs/planner/src/bilberryhitch_planner/sharing.py
@@ -58,13 +58,13 @@
 
 def _strain(run: Run) -> float:
     """Return a serving task's tail latency as a share of its bound."""
-    return run.load / 1000 / run.unit.step.step.target_s if run.unit else 0.0
+    return run.load / 1000 / run.unit.step.step.latency_target_s if run.unit else 0.0
 
 
 def _kind(run: Run) -> str:
     if run.unit is None:
         return ""
     step = run.unit.step.step
-    if step.fills:
+    if step.uses_idle_cpu:
         return "fills"
-    return "serves" if step.lasting and step.target_s else ""
+    return "serves" if step.long_running and step.latency_target_s else ""
--- a/libs/planner/src/bilberryhitch_planner/units.py
+++ b/libs/planner/src/bilberryhitch_planner/units.py
@@ -53,7 +53,7 @@
         self.done = progress.done
         self.last_run = progress.last_run
         self.failed_runs = set(progress.failed_runs)
-        self.saved = progress.saved
+        self.saved = progress.checkpoint
         self.runs: dict[int, Run] = {}
         self.across_racks = False
         self.adopted = False
@@ -114,7 +114,7 @@
         """Whether all earlier steps of the occurrence are done."""
         return all(
             self.job.steps[self.occurrence, earlier].undone == 0
-            for earlier in self.step.after
+            for earlier in self.step.depends_on
         )
 
     def mark_done(self, unit: Unit) -> None:
@@ -201,7 +201,7 @@
         """Return what a task takes, also of a job that has ended."""
         if not 0 <= task.step < len(self.request.steps):
             return None
-        return self.request.steps[task.step].booked
+        return self.request.steps[task.step].reserved_resources
 
     def progress(self) -> JobProgress:
         """Return what must outlive the planner."""
@@ -217,7 +217,7 @@
     """Return, for each step, the longest estimated chain that begins with it."""
     chains = [step.estimate_s for step in steps]
     for index in reversed(range(len(steps))):
-        for earlier in steps[index].after:
+        for earlier in steps[index].depends_on:
             chained = steps[earlier].estimate_s + chains[index]
             chains[earlier] = max(chains[earlier], chained)
     return tuple(chains)
--- a/libs/planner/src/bilberryhitch_planner/upkeep.py
+++ b/libs/planner/src/bilberryhitch_planner/upkeep.py
@@ -329,7 +329,7 @@
         if run.unit is None:
             continue
         step = run.unit.step
-        if step.step.lasting and step.step.may_miss:
+        if step.step.long_running and step.step.max_unavailable:
             steps[id(step)] = step
         cost += lost_work(run.unit, now)
     for step in steps.values():
@@ -338,6 +338,6 @@
             for unit in step.units.values()
             for run in unit.runs.values()
         )
-        if step.step.task_count - at_work > step.step.may_miss:
+        if step.step.task_count - at_work > step.step.max_unavailable:
             return None
     return cost
--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -33,7 +33,7 @@
 def test_a_job_is_started_and_completed_by_its_ends():
     world = World(entry("w1"))
     world.report("w1")
-    world.add(request("j", step(2), step(1, after=(0,))))
+    world.add(request("j", step(2), step(1, depends_on=(0,))))
     first = world.starts()
     assert [order.task.step for order in first] == [0, 0]
     for order in first:
@@ -413,7 +413,7 @@
 def test_a_lasting_task_starts_again_however_it_ends():
     world = World(entry("w1"))
     world.report("w1")
-    world.add(request("j", step(lasting=True)))
+    world.add(request("j", step(long_running=True)))
     for sequence, how in enumerate([EndKind.DONE, EndKind.FAILED, EndKind.FAILED], 1):
         (order,) = world.starts()
         assert order.run == sequence
@@ -438,7 +438,7 @@
     world = World(entry("w1"), entry("w2"))
     for name in ("w1", "w2"):
         world.report(name)
-    world.add(request("j", step(4, spread=1)))
+    world.add(request("j", step(4, max_tasks_per_worker=1)))
     assert sorted(order.worker for order in world.starts()) == ["w1", "w2"]
 
 
@@ -634,7 +634,7 @@
     for each in workers:
         world.report(each.worker)
     lasting = [
-        step(gpu=8, lasting=True)._replace(data_rack=f"r{rack}") for rack in (0, 1)
+        step(gpu=8, long_running=True)._replace(data_rack=f"r{rack}") for rack in (0, 1)
     ]
     world.add(request("lasting", *lasting, route=queue("batch", 2), account="b"))
     world.add(request("batch", step(2, gpu=8), route=queue("batch", 2), account="b"))
--- a/libs/planner/tests/test_sharing.py
+++ b/libs/planner/tests/test_sharing.py
@@ -14,8 +14,8 @@
     def __init__(self):
         super().__init__(entry("w1"))
         self.report("w1")
-        serving = step(lasting=True)._replace(target_s=TARGET_S)
-        filling = step(gpu=0, fills=True)._replace(estimate_s=60.0)
+        serving = step(long_running=True)._replace(latency_target_s=TARGET_S)
+        filling = step(gpu=0, uses_idle_cpu=True)._replace(estimate_s=60.0)
         self.add(request("serving", serving, route=queue("batch", 2)))
         self.add(request("filling", filling, route=queue("batch", 2)))
         started = {order.task.job: order for order in self.start_all()}
--- a/libs/planner/tests/test_upkeep.py
+++ b/libs/planner/tests/test_upkeep.py
@@ -76,7 +76,7 @@
     """Guards against AVAIL: two tasks of one step on machines of one wave."""
     world = World(entry("w1"), entry("w2"), entry("w3"))
     world.report_all()
-    lasting = step(3, gpu=8, lasting=True, may_miss=1)
+    lasting = step(3, gpu=8, long_running=True, max_unavailable=1)
     world.add(request("serving", lasting, route=queue("batch", 2)))
     world.start_all()
     workers = world.planner.workers
--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -199,7 +199,7 @@
         steps.append(
             Step(
                 width, demand, mean * rng.uniform(1 / off, off),
-                after=(index - 1,) if index else (),
+                depends_on=(index - 1,) if index else (),
                 gang=gang, same_rack=bound, saves_progress=saves,
             )
         )  # fmt: skip
--- a/tests/adapter/test_decoding.py
+++ b/tests/adapter/test_decoding.py
@@ -88,8 +88,12 @@
     first, second = content.steps
     assert first.demand == Resources(500, 256, 1)
     assert (first.gang, first.same_rack, first.data_rack) == (True, True, "r1-1")
-    assert (first.required_label, first.spread, first.estimate_s) == ("a", 2, 0.9)
-    assert (second.after, second.lasting) == ((0,), True)
+    assert (first.required_label, first.max_tasks_per_worker, first.estimate_s) == (
+        "a",
+        2,
+        0.9,
+    )
+    assert (second.depends_on, second.long_running) == ((0,), True)
     assert content.schedule == Schedule(2, 5.0, 1.5)
 
 
