--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -2,7 +2,7 @@
 
 from .configuration import (
     Account,
-    AdviceTerms,
+    AdvicePolicy,
     Configuration,
     Limits,
     Queue,
@@ -37,7 +37,7 @@
     "JobOperations",
     "Account",
     "AdmittedCall",
-    "AdviceTerms",
+    "AdvicePolicy",
     "Configuration",
     "Resources",
     "JobApi",
--- a/libs/jobs/src/bilberryhitch_jobs/configuration.py
+++ b/libs/jobs/src/bilberryhitch_jobs/configuration.py
@@ -3,14 +3,14 @@
 from typing import NamedTuple
 
 
-class AdviceTerms(NamedTuple):
+class AdvicePolicy(NamedTuple):
     """A queue whose steps need permission for each worker.
 
     :param valid_s: how long a permission holds
     """
 
-    decide_s: float
-    each_s: float
+    base_latency_s: float
+    latency_per_worker_s: float
     valid_s: float
 
 
@@ -35,7 +35,7 @@
     stretch: float
     target_s: float
     public: bool
-    advice: AdviceTerms | None
+    advice: AdvicePolicy | None
 
 
 class Service(NamedTuple):
--- a/libs/planner/src/bilberryhitch_planner/advice.py
+++ b/libs/planner/src/bilberryhitch_planner/advice.py
@@ -59,7 +59,7 @@
         terms = step.job.queue.advice
         due_s = RETRY_S
         if terms is not None:
-            due_s += terms.decide_s + terms.each_s * len(names)
+            due_s += terms.base_latency_s + terms.latency_per_worker_s * len(names)
         self._ask_after = now + due_s
         return AdviseOrder(step.job.request.job, step.occurrence, step.index, names)
 
--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -2,7 +2,7 @@
 
 from bilberryhitch_jobs import (
     GANG_INDEX,
-    AdviceTerms,
+    AdvicePolicy,
     JobProgress,
     JobState,
     Schedule,
@@ -576,7 +576,7 @@
     world = World(entry("w1"), entry("w2"))
     for name in ("w1", "w2"):
         world.report(name)
-    advised = queue("advised", 1)._replace(advice=AdviceTerms(0.05, 0.01, 3.0))
+    advised = queue("advised", 1)._replace(advice=AdvicePolicy(0.05, 0.01, 3.0))
     world.add(request("j", step(2, gpu=8), route=advised))
     assert world.starts() == []
     (question,) = world.planner.questions
