--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -28,7 +28,7 @@
     Step,
     TaskName,
 )
-from .rows import Expected, Removal, Row, Snapshot, Store, Write
+from .rows import ExpectedRevision, RowRemoval, RowSnapshot, RowWrite, Store, StoreRow
 from .table_watcher import TableWatcher
 
 __all__ = [
@@ -41,7 +41,7 @@
     "Configuration",
     "Resources",
     "JobApi",
-    "Expected",
+    "ExpectedRevision",
     "TableWatcher",
     "JobSubmission",
     "JobProgress",
@@ -50,18 +50,18 @@
     "Limits",
     "ReplyKind",
     "Queue",
-    "Removal",
+    "RowRemoval",
     "JobReply",
-    "Row",
+    "StoreRow",
     "Schedule",
     "Service",
-    "Snapshot",
+    "RowSnapshot",
     "Step",
     "Store",
     "TaskName",
     "UnitProgress",
     "OperationResult",
-    "Write",
+    "RowWrite",
     "decode_progress",
     "decode_request",
     "encode_progress",
--- a/libs/jobs/src/bilberryhitch_jobs/configuration.py
+++ b/libs/jobs/src/bilberryhitch_jobs/configuration.py
@@ -41,12 +41,12 @@
 class Service(NamedTuple):
     """A pool of workers.
 
-    :param guards_capacity: workers refuse what does not fit
+    :param enforces_capacity: workers refuse what does not fit
     :param spare: its machines are switched off
     """
 
     name: str
-    guards_capacity: bool
+    enforces_capacity: bool
     spare: bool
 
 
--- a/libs/jobs/src/bilberryhitch_jobs/errors.py
+++ b/libs/jobs/src/bilberryhitch_jobs/errors.py
@@ -2,7 +2,7 @@
 
 from bilberryhitch_model.errors import BilberryhitchError
 
-from .rows import Row
+from .rows import StoreRow
 
 
 class StoreRefused(BilberryhitchError):
@@ -39,7 +39,7 @@
 
     code = "commit_conflict"
 
-    def __init__(self, rows: tuple[Row, ...]) -> None:
+    def __init__(self, rows: tuple[StoreRow, ...]) -> None:
         super().__init__(rows)
         self.rows = rows
 
--- a/libs/jobs/src/bilberryhitch_jobs/job_operations.py
+++ b/libs/jobs/src/bilberryhitch_jobs/job_operations.py
@@ -22,7 +22,7 @@
     encode_request,
 )
 from .records import FINISHED_STATES, JobRequest, JobState
-from .rows import Expected, Store, Write
+from .rows import ExpectedRevision, RowWrite, Store
 
 JOBS_TABLE = "jobs"
 PROGRESS_TABLE = "progress"
@@ -79,13 +79,13 @@
         :returns: ``DONE`` also for a job that is already there
         """
         job = request.job
-        write = Write(JOBS_TABLE, job, encode_request(request))
+        write = RowWrite(JOBS_TABLE, job, encode_request(request))
 
         async def attempt(timeout_s: float) -> OperationResult:
             # A conflict means that the job is there already.
             with suppress(CommitConflict):
                 await self._store.commit(
-                    (Expected(JOBS_TABLE, job, 0),),
+                    (ExpectedRevision(JOBS_TABLE, job, 0),),
                     (write,),
                     partition=job_partition(job),
                     timeout_s=timeout_s,
@@ -113,7 +113,7 @@
             if state is None:
                 return OperationResult.ABSENT
             if state not in FINISHED_STATES:
-                mark = Write(JOBS_TABLE, job + CANCEL_SUFFIX, b"1")
+                mark = RowWrite(JOBS_TABLE, job + CANCEL_SUFFIX, b"1")
                 await self._store.commit(
                     (), (mark,), partition=job_partition(job), timeout_s=timeout_s
                 )
--- a/libs/jobs/src/bilberryhitch_jobs/rows.py
+++ b/libs/jobs/src/bilberryhitch_jobs/rows.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple, Protocol
 
 
-class Row(NamedTuple):
+class StoreRow(NamedTuple):
     """A row as the store returned it.
 
     :param value: empty if the row was removed
@@ -18,17 +18,17 @@
     removed: bool = False
 
 
-class Snapshot(NamedTuple):
+class RowSnapshot(NamedTuple):
     """Rows of one moment.
 
     :param revision: version of the store at that moment, from which to watch
     """
 
-    rows: tuple[Row, ...]
+    rows: tuple[StoreRow, ...]
     revision: int
 
 
-class Expected(NamedTuple):
+class ExpectedRevision(NamedTuple):
     """A row's revision that a transaction depends on; 0 means absent."""
 
     table: str
@@ -36,7 +36,7 @@
     revision: int
 
 
-class Write(NamedTuple):
+class RowWrite(NamedTuple):
     """A row to be written."""
 
     table: str
@@ -44,7 +44,7 @@
     value: bytes
 
 
-class Removal(NamedTuple):
+class RowRemoval(NamedTuple):
     """A row to be removed."""
 
     table: str
@@ -62,10 +62,10 @@
         *,
         partition: str = "",
         timeout_s: float,
-    ) -> Snapshot:
+    ) -> RowSnapshot:
         """Return a part's rows with ``first`` <= key < ``last`` in order of keys."""
 
-    async def watch(self, table: str, after: int, wait_s: float) -> Snapshot:
+    async def watch(self, table: str, after: int, wait_s: float) -> RowSnapshot:
         """Return rows changed since ``after`` in any part; wait ``wait_s`` for one.
 
         :raises HistoryLost: if the changes are no longer kept
@@ -73,9 +73,9 @@
 
     async def commit(
         self,
-        expected: Sequence[Expected],
-        writes: Sequence[Write],
-        removals: Sequence[Removal] = (),
+        expected: Sequence[ExpectedRevision],
+        writes: Sequence[RowWrite],
+        removals: Sequence[RowRemoval] = (),
         *,
         partition: str = "",
         timeout_s: float,
--- a/libs/jobs/src/bilberryhitch_jobs/table_watcher.py
+++ b/libs/jobs/src/bilberryhitch_jobs/table_watcher.py
@@ -7,7 +7,7 @@
 from bilberryhitch_telemetry import events, log
 
 from .errors import STORE_ERRORS, HistoryLost
-from .rows import Row, Snapshot, Store
+from .rows import RowSnapshot, Store, StoreRow
 
 # A silent connection is noticed within this and the client's own margin.
 WAIT_S = 1.0
@@ -27,8 +27,8 @@
         self,
         store: Store,
         table: str,
-        on_snapshot: Callable[[tuple[Row, ...], int], None],
-        on_row: Callable[[Row], None],
+        on_snapshot: Callable[[tuple[StoreRow, ...], int], None],
+        on_row: Callable[[StoreRow], None],
         *,
         partitions: Sequence[str] = ("",),
     ) -> None:
@@ -88,7 +88,7 @@
 
 async def read_partitions(
     store: Store, table: str, partitions: Sequence[str]
-) -> Snapshot:
+) -> RowSnapshot:
     """Return the rows of all partitions.
 
     Each partition is read at its own revision; a watch from the lowest of them repeats
@@ -101,4 +101,4 @@
         )
     )
     rows = tuple(row for snapshot in snapshots for row in snapshot.rows)
-    return Snapshot(rows, min(snapshot.revision for snapshot in snapshots))
+    return RowSnapshot(rows, min(snapshot.revision for snapshot in snapshots))
--- a/libs/jobs/tests/test_job_api.py
+++ b/libs/jobs/tests/test_job_api.py
@@ -19,14 +19,14 @@
     Queue,
     ReplyKind,
     Resources,
-    Snapshot,
+    RowSnapshot,
     Step,
     decode_request,
     encode_progress,
 )
 from bilberryhitch_jobs.errors import CommitConflict, StoreRefused, StoreUnknown
 from bilberryhitch_jobs.job_operations import OperationResult
-from bilberryhitch_jobs.rows import Row
+from bilberryhitch_jobs.rows import StoreRow
 from bilberryhitch_testing import run_virtual
 
 JOB = "0" * 16
@@ -63,7 +63,7 @@
             raise StoreUnknown("call", failure)
 
     def put(self, table, key, value, partition=""):
-        self.rows[table, partition, key] = Row(table, key, value, 1)
+        self.rows[table, partition, key] = StoreRow(table, key, value, 1)
 
     async def read(self, table, first="", last="", *, partition="", timeout_s):
         self._fail(done=False)
@@ -72,7 +72,7 @@
             for (held, where, key), row in sorted(self.rows.items())
             if first <= key < last and (held, where) == (table, partition)
         ]
-        return Snapshot(tuple(rows), 1)
+        return RowSnapshot(tuple(rows), 1)
 
     async def commit(self, expected, writes, removals=(), *, partition="", timeout_s):
         failing = self.failures[:1]
--- a/libs/planner/src/bilberryhitch_planner/journal.py
+++ b/libs/planner/src/bilberryhitch_planner/journal.py
@@ -11,11 +11,11 @@
 import msgspec
 from bilberryhitch_jobs import (
     FINISHED_STATES,
-    Expected,
+    ExpectedRevision,
     JobProgress,
-    Removal,
+    RowRemoval,
+    RowWrite,
     Store,
-    Write,
     decode_progress,
     encode_progress,
 )
@@ -127,7 +127,7 @@
         self._summary = b""
         self._summary_at = float("-inf")
         self._counting = False
-        self._notes: dict[tuple[str, str], Write] = {}
+        self._notes: dict[tuple[str, str], RowWrite] = {}
         # Jobs whose requests are removed and whose progress is to follow.
         self._orphans: set[str] = set()
         self._changed = asyncio.Event()
@@ -162,7 +162,7 @@
         """Tell callers from now on how many jobs wait: all of them are known."""
         self._counting = True
 
-    def put(self, write: Write) -> None:
+    def put(self, write: RowWrite) -> None:
         """Store a row of the planner's own soon; a later one of its key replaces it."""
         self._notes[write.table, write.key] = write
         self._changed.set()
@@ -207,8 +207,8 @@
             await asyncio.sleep(SWEEP_PERIOD_S)
             for name in self._expired():
                 rows = (
-                    Removal(JOBS_TABLE, name),
-                    Removal(JOBS_TABLE, name + CANCEL_SUFFIX),
+                    RowRemoval(JOBS_TABLE, name),
+                    RowRemoval(JOBS_TABLE, name + CANCEL_SUFFIX),
                 )
                 try:
                     await self._store.commit(
@@ -272,7 +272,7 @@
         self._in_flight = True
         try:
             revision = await self._store.commit(
-                (Expected(LEASE_TABLE, LEASE_KEY, self._revision),),
+                (ExpectedRevision(LEASE_TABLE, LEASE_KEY, self._revision),),
                 writes,
                 removals,
                 timeout_s=CALL_TIMEOUT_S,
@@ -322,15 +322,15 @@
         self._planner.dirty = dirty - names
         return names
 
-    def _progress_writes(self, names: set[str]) -> list[Write]:
+    def _progress_writes(self, names: set[str]) -> list[RowWrite]:
         jobs = self._planner.jobs
         return [
-            Write(PROGRESS_TABLE, name, encode_progress(jobs[name].progress()))
+            RowWrite(PROGRESS_TABLE, name, encode_progress(jobs[name].progress()))
             for name in sorted(names)
             if name in jobs
         ]
 
-    def _lease_write(self, holder: str | None) -> Write:
+    def _lease_write(self, holder: str | None) -> RowWrite:
         self._renewal += 1
         lease = LeaseRow(
             self._tenure.holder if holder is None else holder,
@@ -338,26 +338,27 @@
             self._renewal,
             self._tenure.address,
         )
-        return Write(LEASE_TABLE, LEASE_KEY, encode_lease(lease))
+        return RowWrite(LEASE_TABLE, LEASE_KEY, encode_lease(lease))
 
-    def _summary_write(self, now: float) -> list[Write]:
+    def _summary_write(self, now: float) -> list[RowWrite]:
         if not self._counting or now - self._summary_at < SUMMARY_PERIOD_S:
             return []
         value = msgspec.json.encode(self._planner.waiting_counts(), order="sorted")
         if value == self._summary:
             return []
-        return [Write(SUMMARY_TABLE, WAITING_KEY, value)]
+        return [RowWrite(SUMMARY_TABLE, WAITING_KEY, value)]
 
-    def _roster_write(self, roster: frozenset[str]) -> list[Write]:
+    def _roster_write(self, roster: frozenset[str]) -> list[RowWrite]:
         """Return the row that tells a successor which workers to ask."""
         if roster == self._planner.rostered:
             return []
-        return [Write(ROSTER_TABLE, ROSTER_KEY, msgspec.json.encode(sorted(roster)))]
+        return [RowWrite(ROSTER_TABLE, ROSTER_KEY, msgspec.json.encode(sorted(roster)))]
 
-    def _removals(self) -> list[Removal]:
+    def _removals(self) -> list[RowRemoval]:
         """Return the progress of jobs that nobody can ask for any more."""
         return [
-            Removal(PROGRESS_TABLE, name) for name in sorted(self._orphans)[:MOST_SWEPT]
+            RowRemoval(PROGRESS_TABLE, name)
+            for name in sorted(self._orphans)[:MOST_SWEPT]
         ]
 
     def _resolve(self, conflict: CommitConflict) -> None:
--- a/libs/planner/src/bilberryhitch_planner/lead.py
+++ b/libs/planner/src/bilberryhitch_planner/lead.py
@@ -9,9 +9,9 @@
     Configuration,
     JobProgress,
     JobState,
-    Row,
+    RowWrite,
     Store,
-    Write,
+    StoreRow,
     decode_request,
 )
 from bilberryhitch_jobs.errors import STORE_ERRORS, RowUnreadable
@@ -67,12 +67,12 @@
         calls: WorkerCalls,
         *,
         worker_table: str,
-        decode_worker: Callable[[Row], WorkerEntry | None],
+        decode_worker: Callable[[StoreRow], WorkerEntry | None],
         configuration: Callable[[], Configuration | None],
         advise: Callable[[AdviseOrder], Awaitable[Advice | None]],
         machines: UpkeepCalls,
         waves: Callable[[], Iterable[Wave]],
-        encode_wave: Callable[[int, bool], Write],
+        encode_wave: Callable[[int, bool], RowWrite],
         keep_s: float,
     ) -> None:
         horizon = WORKER_LEASE_HORIZON_S * (1 + CLOCK_DRIFT) + LEASE_SLACK_S
@@ -236,12 +236,12 @@
 
     # Rows of jobs.
 
-    def _load_jobs(self, rows: tuple[Row, ...], revision: int) -> None:
+    def _load_jobs(self, rows: tuple[StoreRow, ...], revision: int) -> None:
         for row in rows:
             self._take_job_row(row)
         log(events.JOBS_LOADED, jobs=len(self.planner.jobs), revision=revision)
 
-    def _take_job_row(self, row: Row) -> None:
+    def _take_job_row(self, row: StoreRow) -> None:
         if row.removed:
             return
         name, _, suffix = row.key.partition(".")
@@ -251,7 +251,7 @@
             self._add_job(name, row)
         self._changed()
 
-    def _add_job(self, name: str, row: Row) -> None:
+    def _add_job(self, name: str, row: StoreRow) -> None:
         try:
             request = decode_request(name, row.value)
         except RowUnreadable as error:
@@ -271,7 +271,7 @@
 
     # Rows of workers.
 
-    def _load_workers(self, rows: tuple[Row, ...], _revision: int) -> None:
+    def _load_workers(self, rows: tuple[StoreRow, ...], _revision: int) -> None:
         present = {row.key for row in rows}
         for name in list(self.planner.workers):
             if name not in present:
@@ -279,7 +279,7 @@
         for row in rows:
             self._take_worker_row(row)
 
-    def _take_worker_row(self, row: Row) -> None:
+    def _take_worker_row(self, row: StoreRow) -> None:
         now = time.monotonic()
         if row.removed:
             log(events.WORKER_UNLISTED, worker=row.key, revision=row.revision)
--- a/libs/planner/src/bilberryhitch_planner/tenure.py
+++ b/libs/planner/src/bilberryhitch_planner/tenure.py
@@ -12,7 +12,13 @@
 from typing import Any, NamedTuple
 
 import msgspec
-from bilberryhitch_jobs import Expected, Row, Snapshot, Store, Write
+from bilberryhitch_jobs import (
+    ExpectedRevision,
+    RowSnapshot,
+    RowWrite,
+    Store,
+    StoreRow,
+)
 from bilberryhitch_jobs.errors import STORE_ERRORS, CommitConflict, HistoryLost
 from bilberryhitch_telemetry import events, log
 
@@ -84,7 +90,7 @@
         self._ended = ended
         self._probe: asyncio.Task[None] | None = None
         self._probed = ""
-        self._row: Row | None = None
+        self._row: StoreRow | None = None
         self._revision = 0
         self._changed_at = self._tried_at = time.monotonic()
 
@@ -147,7 +153,7 @@
         return bool(rows)
 
     async def _until_changed_or_ended(
-        self, lease: LeaseRow, watch: "asyncio.Task[Snapshot]"
+        self, lease: LeaseRow, watch: "asyncio.Task[RowSnapshot]"
     ) -> None:
         probe = self._probe_of(lease.address)
         await asyncio.wait(
@@ -181,8 +187,8 @@
         self._tried_at = time.monotonic()
         try:
             revision = await self._store.commit(
-                (Expected(LEASE_TABLE, LEASE_KEY, present),),
-                (Write(LEASE_TABLE, LEASE_KEY, encode_lease(value)),),
+                (ExpectedRevision(LEASE_TABLE, LEASE_KEY, present),),
+                (RowWrite(LEASE_TABLE, LEASE_KEY, encode_lease(value)),),
                 timeout_s=CALL_TIMEOUT_S,
             )
         except CommitConflict as conflict:
@@ -201,7 +207,7 @@
             self._holder, token, self._tried_at, self._changed_at, self._address
         )
 
-    def _note(self, row: Row | None) -> None:
+    def _note(self, row: StoreRow | None) -> None:
         if row is not None and row.removed:
             row = None
         if (row and row.revision) != (self._row and self._row.revision):
@@ -219,7 +225,7 @@
     return msgspec.json.encode(lease)
 
 
-def decode_lease(row: Row | None) -> LeaseRow:
+def decode_lease(row: StoreRow | None) -> LeaseRow:
     """Read the row; an absent or unreadable one is held by nobody."""
     if row is None:
         return LeaseRow("", 0, 0)
--- a/libs/planner/src/bilberryhitch_planner/upkeep.py
+++ b/libs/planner/src/bilberryhitch_planner/upkeep.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple, Protocol
 
 import msgspec
-from bilberryhitch_jobs import Store, Write
+from bilberryhitch_jobs import RowWrite, Store
 from bilberryhitch_jobs.errors import STORE_ERRORS
 from bilberryhitch_telemetry import events, log
 
@@ -103,10 +103,10 @@
         self._left_out: set[str] = set()
 
     @property
-    def record(self) -> Write:
+    def record(self) -> RowWrite:
         """The row that tells a successor which machines were ordered down."""
         ordered = msgspec.json.encode(sorted(self.ordered))
-        return Write(RECORD_TABLE, str(self.wave.number), ordered)
+        return RowWrite(RECORD_TABLE, str(self.wave.number), ordered)
 
     @property
     def leave_s(self) -> float:
@@ -198,7 +198,7 @@
         *,
         token: int,
         waves: Callable[[], Iterable[Wave]],
-        encode_status: Callable[[int, bool], Write],
+        encode_status: Callable[[int, bool], RowWrite],
         on_change: Callable[[], None],
     ) -> None:
         self._store = store
--- a/libs/planner/tests/test_tenure.py
+++ b/libs/planner/tests/test_tenure.py
@@ -4,9 +4,9 @@
 from types import SimpleNamespace
 
 import pytest
-from bilberryhitch_jobs import JobProgress, JobRequest, JobState, Queue, Snapshot
+from bilberryhitch_jobs import JobProgress, JobRequest, JobState, Queue, RowSnapshot
 from bilberryhitch_jobs.errors import CommitConflict, StoreUnknown
-from bilberryhitch_jobs.rows import Row
+from bilberryhitch_jobs.rows import StoreRow
 from bilberryhitch_planner import Campaign, Deposed, Planner
 from bilberryhitch_planner.journal import MOST_ENTRIES, SWEEP_PERIOD_S, Journal
 from bilberryhitch_planner.liveness import process_ended
@@ -34,7 +34,7 @@
 
     async def read(self, table, first="", last="", *, partition="", timeout_s):
         rows = tuple(row for key, row in sorted(self.rows.items()) if key[0] == table)
-        return Snapshot(rows, self.revision)
+        return RowSnapshot(rows, self.revision)
 
     async def watch(self, table, after, wait_s):
         waited = 0.0
@@ -42,7 +42,7 @@
             rows = [row for row in self.rows.values() if row.table == table]
             changed = tuple(row for row in rows if row.revision > after)
             if changed or waited >= wait_s:
-                return Snapshot(changed, self.revision)
+                return RowSnapshot(changed, self.revision)
             await asyncio.sleep(0.05)
             waited += 0.05
 
@@ -54,7 +54,7 @@
         self.revision += 1
         for each in writes:
             key = (each.table, each.key)
-            self.rows[key] = Row(each.table, each.key, each.value, self.revision)
+            self.rows[key] = StoreRow(each.table, each.key, each.value, self.revision)
         for each in removals:
             self.rows.pop((each.table, each.key), None)
         if self.lose:
@@ -203,8 +203,8 @@
         request = JobRequest("0" * 16, queue, "a", "s", (), 0.0)
         done = JobProgress(JobState.COMPLETED, "a", {}, finished_s=1.0)
         planner.add_job(request, done, 1, now=0.0, unix_s=0.0)
-        store.rows["jobs", request.job] = Row("jobs", request.job, b"", 1)
-        store.rows["progress", request.job] = Row("progress", request.job, b"", 1)
+        store.rows["jobs", request.job] = StoreRow("jobs", request.job, b"", 1)
+        store.rows["progress", request.job] = StoreRow("progress", request.job, b"", 1)
         sweeping = asyncio.create_task(held.sweep())
         await asyncio.sleep(SWEEP_PERIOD_S * 1.5)
         assert ("jobs", request.job) not in store.rows
@@ -227,7 +227,7 @@
         done = JobProgress(JobState.COMPLETED, "a", {}, finished_s=1.0)
         begun = JobProgress(JobState.RUNNING, "a", {})
         for name in ("done", "begun"):
-            store.rows["progress", name] = Row("progress", name, b"", 1)
+            store.rows["progress", name] = StoreRow("progress", name, b"", 1)
         held.take_orphans({"done": done, "begun": begun})
         await held.write()
         assert ("progress", "done") not in store.rows
@@ -297,7 +297,7 @@
 
     async def scene():
         store = MemoryStore()
-        store.rows["summary", "waiting"] = Row("summary", "waiting", b'{"q":7}', 1)
+        store.rows["summary", "waiting"] = StoreRow("summary", "waiting", b'{"q":7}', 1)
         tenure = await Campaign(store, "a/1").win()
         _, held = journal(store, tenure)
         await held.write()
--- a/libs/planner/tests/test_upkeep.py
+++ b/libs/planner/tests/test_upkeep.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 import pytest
-from bilberryhitch_jobs import Snapshot, Write
+from bilberryhitch_jobs import RowSnapshot, RowWrite
 from bilberryhitch_jobs.errors import StoreUnknown
 from bilberryhitch_planner import Machine, UpkeepOutcome, Wave, WorkerFenced
 from bilberryhitch_planner.upkeep import Upkeep, WaveBook, departure_cost
@@ -140,7 +140,7 @@
     async def read(table, *, timeout_s):
         if next(left, False):
             raise StoreUnknown("rows", "lost")
-        return Snapshot((), 1)
+        return RowSnapshot((), 1)
 
     return Upkeep(
         SimpleNamespace(read=read),
@@ -149,7 +149,9 @@
         calls,
         token=7,
         waves=lambda: (wave("a", "b", "c"),),
-        encode_status=lambda number, done: Write("status", str(number), b"%d" % done),
+        encode_status=lambda number, done: RowWrite(
+            "status", str(number), b"%d" % done
+        ),
         on_change=lambda: None,
     )
 
--- a/tests/adapter/test_decoding.py
+++ b/tests/adapter/test_decoding.py
@@ -8,7 +8,7 @@
     decode_job,
     decode_worker,
 )
-from bilberryhitch_jobs import Resources, Row, Schedule, TaskName
+from bilberryhitch_jobs import Resources, Schedule, StoreRow, TaskName
 from bilberryhitch_model.errors import BadInput
 from bilberryhitch_planner import EndKind
 
@@ -24,7 +24,7 @@
 
 def row(document, key="i-1"):
     value = document if isinstance(document, bytes) else msgspec.json.encode(document)
-    return Row("servers", key, value, 3)
+    return StoreRow("servers", key, value, 3)
 
 
 def test_a_worker_is_named_by_its_rows_key():
