--- a/libs/scheduling/src/bilberryhitch_scheduling/__init__.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/__init__.py
@@ -1,18 +1,18 @@
-"""Cells, guarantees, placement, fair queueing and run-time estimates."""
+"""Scheduling of one pool: placement, guarantees, fair queueing, run-time estimates."""
 
 from .cells import CellTree, effective_accelerators
-from .estimates import Estimates
-from .explaining import BoundRow
+from .explanations import BoundCellRow
 from .fair_groups import Entry
 from .fair_queue import Dropped, FairQueue
+from .run_time_estimates import RunTimeEstimates
 from .scheduler import PoolScheduler
 
 __all__ = [
-    "BoundRow",
+    "BoundCellRow",
     "CellTree",
     "Dropped",
     "Entry",
-    "Estimates",
+    "RunTimeEstimates",
     "FairQueue",
     "PoolScheduler",
     "effective_accelerators",
--- a/libs/scheduling/src/bilberryhitch_scheduling/cell_plans.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/cell_plans.py
@@ -1,4 +1,4 @@
-"""How the workers of a data centre are joined into cells."""
+"""Grouping of the workers of a data centre into a tree of cells."""
 
 import re
 from collections.abc import Sequence
@@ -7,8 +7,8 @@
 from bilberryhitch_model import Host
 
 
-class Profile(NamedTuple):
-    """Resources of a worker; cells in workers of one profile are equal."""
+class WorkerProfile(NamedTuple):
+    """Resources of a worker; workers of equal profile have cells of equal structure."""
 
     accelerators: int
     cores: int
@@ -16,21 +16,29 @@
 
 
 class CellPlan(NamedTuple):
-    """A cell before it is numbered; ``grouped`` if it joins several racks."""
+    """A cell before it is numbered.
 
-    profile: Profile | None
+    :param profile: profile of the worker for a cell within one worker
+    :param size: accelerators in the cell
+    :param spans_racks: whether it joins several racks
+    """
+
+    profile: WorkerProfile | None
     children: "tuple[CellPlan, ...]"
     hosts: tuple[Host, ...]
     size: int
-    grouped: bool = False
+    spans_racks: bool = False
 
 
 def plan_data_centre(hosts: list[Host]) -> CellPlan | None:
-    """Join racks, sorted by name, into aligned groups of adjacent racks."""
+    """Return the cells of a data centre, or ``None`` without workers.
+
+    Racks are sorted by name and joined into aligned groups of adjacent racks.
+    """
     racks: dict[str, list[Host]] = {}
     for host in hosts:
         racks.setdefault(host.rack, []).append(host)
-    level = [_plan_rack(racks[name]) for name in sorted(racks, key=_natural)]
+    level = [_plan_rack(racks[name]) for name in sorted(racks, key=_natural_sort_key)]
     while len(level) > 1:
         pairs = range(0, len(level), 2)
         level = [_join(level[start : start + 2], grouped=True) for start in pairs]
@@ -38,32 +46,37 @@
 
 
 def _plan_rack(hosts: list[Host]) -> CellPlan:
-    """Join adjacent workers into aligned pairs and quads by position."""
+    """Join adjacent workers into aligned groups of two and four by position."""
     parts: dict[int, CellPlan] = {}
     for host in sorted(hosts, key=lambda host: (host.position, host.name)):
         position = host.position
-        while position in parts:  # two rows name one position: keep both workers
+        while position in parts:  # duplicate position: keep both workers
             position = max(parts) + 1
-        profile = Profile(host.accelerators, host.cores, host.memory_gb)
+        profile = WorkerProfile(host.accelerators, host.cores, host.memory_gb)
         parts[position] = _plan_block(host, profile, host.accelerators)
     for step in (1, 2):
         for position in sorted(parts):
             second = position + step
             aligned = position % (2 * step) == 0 and second in parts
-            if aligned and _width(parts[position]) == _width(parts[second]) == step:
+            if (
+                aligned
+                and _worker_count(parts[position])
+                == _worker_count(parts[second])
+                == step
+            ):
                 parts[position] = _join([parts[position], parts.pop(second)])
     return _join([parts[position] for position in sorted(parts)])
 
 
-def _plan_block(host: Host, profile: Profile, size: int) -> CellPlan:
+def _plan_block(host: Host, profile: WorkerProfile, size: int) -> CellPlan:
     """Split a worker into aligned blocks whose sizes are powers of two."""
     children: list[CellPlan] = []
-    left = size if size > 1 else 0
-    while left:
-        block = 1 << (left.bit_length() - 1)
+    remaining = size if size > 1 else 0
+    while remaining:
+        block = 1 << (remaining.bit_length() - 1)
         block = block // 2 if block == size else block
         children.append(_plan_block(host, profile, block))
-        left -= block
+        remaining -= block
     return CellPlan(profile, tuple(children), (host,), size)
 
 
@@ -75,11 +88,11 @@
     return CellPlan(None, tuple(parts), hosts, size, grouped)
 
 
-def _width(plan: CellPlan) -> int:
+def _worker_count(plan: CellPlan) -> int:
     return len(plan.hosts)
 
 
-def _natural(name: str) -> tuple[tuple[int, str], ...]:
-    """Sort ``rack-10`` after ``rack-9``."""
+def _natural_sort_key(name: str) -> tuple[tuple[int, str], ...]:
+    """Return a sort key that orders ``rack-10`` after ``rack-9``."""
     parts = re.findall(r"\d+|\D+", name)
     return tuple((int(p), "") if p.isdigit() else (-1, p) for p in parts)
--- /dev/null
+++ b/libs/scheduling/src/bilberryhitch_scheduling/cell_search.py
@@ -0,0 +1,207 @@
+"""Search for a cell that holds a gang.
+
+The search prefers cells whose use fragments the fewest larger empty cells, then the
+least evicted work. Among equal cells it takes the one whose neighbours are expected
+to end at a similar time, so that long and short jobs do not fragment each other's
+workers.
+"""
+
+from collections.abc import Callable, Iterator
+
+from bilberryhitch_model import Member, Shape
+
+from .cell_index import CellIndex
+from .cells import CellTree
+from .fleet import Fleet
+
+MAX_EQUAL_CELLS = 16  # cells of one group that are compared by score
+
+AvailableCount = Callable[[int], int]  # accelerators of a cell that may be allocated
+
+
+def search_cells(tree: CellTree, index: CellIndex, shape: Shape) -> Iterator[list[int]]:
+    """Yield cells that may hold the gang, in groups of equal fragmentation.
+
+    Partially used cells come first, those with the least room left leading. Then
+    come empty cells, those inside the smallest maximal empty cell leading.
+    """
+    kinds = tree.candidate_kinds(shape)
+    for kind in kinds:
+        size = tree.kinds[kind].size
+        needed = shape.tasks * max(1, shape.accelerators)
+        buckets = index.partial[kind]
+        for available in range(needed, size):
+            if buckets.get(available):
+                yield _sample(iter(buckets[available]))
+    around = {
+        (tree.kinds[h].size, h, k) for k in kinds for h in tree.containing_kinds(k)
+    }
+    for _, holder, kind in sorted(around):
+        if index.maximal[holder]:
+            yield _sample(_cells_inside(tree, index, holder, kind))
+
+
+def place_in_cell(
+    fleet: Fleet, available: AvailableCount, cell: int, shape: Shape
+) -> list[Member] | None:
+    """Choose accelerators for all tasks inside a cell.
+
+    :param available: how many accelerators of a cell may be allocated
+    :returns: one member per worker, or ``None`` if not all tasks fit
+    """
+    if _tasks_in(fleet, available, cell, shape) < shape.tasks:
+        return None
+    members: list[Member] = []
+    _fill_cell(fleet, available, cell, shape, members)
+    return members
+
+
+def find_free_members(
+    fleet: Fleet, shape: Shape, score: Callable[[int], float]
+) -> list[Member] | None:
+    """Place a gang on free accelerators.
+
+    :param score: orders the cells of a group; lower is better
+    :returns: one member per worker, or ``None`` if the gang does not fit
+    """
+    for group in search_cells(fleet.tree, fleet.free, shape):
+        for cell in sorted(group, key=score):
+            members = place_in_cell(fleet, fleet.free.available, cell, shape)
+            if members is not None:
+                return members
+    return None
+
+
+def victims(fleet: Fleet, members: list[Member], shape: Shape) -> dict[str, None]:
+    """Return the ids of the jobs to evict before the members can start.
+
+    They are the keys of a dictionary, in order.
+    """
+    found: dict[str, None] = {}
+    for member in members:
+        for accelerator in fleet.accelerators(member):
+            owner = fleet.owner[accelerator]
+            if owner is not None:
+                found[owner] = None
+        _add_cpu_victims(fleet, member, shape, found)
+    return found
+
+
+def neighbour_score(fleet: Fleet, ends_at: float) -> Callable[[int], float]:
+    """Score cells by the distance of their neighbours' mean end from a job's end.
+
+    :param ends_at: expected end of the job, in loop seconds
+    """
+    tree = fleet.tree
+
+    def score(cell: int) -> float:
+        parent = tree.cells[cell].parent
+        around = cell if parent < 0 else parent
+        if tree.cells[around].size > 4 * tree.max_worker_accelerators:
+            return 0.0
+        ends = [
+            job.started_at + job.expected_s
+            for host, _ in tree.hosts_in(around)
+            for job in map(fleet.jobs.__getitem__, fleet.hosts[host].jobs)
+            if job.allocated_accelerators
+        ]
+        return abs(sum(ends) / len(ends) - ends_at) if ends else 0.0
+
+    return score
+
+
+def _sample(cells: Iterator[int]) -> list[int]:
+    return [cell for cell, _ in zip(cells, range(MAX_EQUAL_CELLS), strict=False)]
+
+
+def _cells_inside(
+    tree: CellTree, index: CellIndex, holder: int, kind: int
+) -> Iterator[int]:
+    for cell in index.maximal[holder]:
+        yield from tree.cells_inside(cell, kind)
+
+
+def _tasks_in(fleet: Fleet, available: AvailableCount, cell: int, shape: Shape) -> int:
+    row = fleet.tree.cells[cell]
+    if fleet.tree.kinds[row.kind].profile is None:
+        return sum(_tasks_in(fleet, available, child, shape) for child in row.children)
+    per_task = fleet.accelerators_per_task(
+        fleet.tree.host_of_accelerator[row.start], shape
+    )
+    return available(cell) // per_task if per_task else 0
+
+
+def _fill_cell(
+    fleet: Fleet,
+    available: AvailableCount,
+    cell: int,
+    shape: Shape,
+    to: list[Member],
+) -> None:
+    """Place tasks into the best-fitting child, or into the largest until one fits."""
+    row = fleet.tree.cells[cell]
+    if fleet.tree.kinds[row.kind].profile is not None:
+        host = fleet.tree.host_of_accelerator[row.start]
+        taken: list[int] = []
+        _take(
+            fleet.tree,
+            available,
+            cell,
+            shape.tasks * fleet.accelerators_per_task(host, shape),
+            taken,
+        )
+        to.append(fleet.make_member(host, taken, shape.tasks))
+        return
+    room = {child: _tasks_in(fleet, available, child, shape) for child in row.children}
+    for child, given in _best_fit(room, shape.tasks):
+        _fill_cell(fleet, available, child, shape._replace(tasks=given), to)
+
+
+def _take(
+    tree: CellTree, available: AvailableCount, cell: int, count: int, to: list[int]
+) -> None:
+    row = tree.cells[cell]
+    if not row.children:
+        to.append(row.start)
+        return
+    room = {child: available(child) for child in row.children}
+    for child, given in _best_fit(room, count):
+        _take(tree, available, child, given, to)
+
+
+def _best_fit(room: dict[int, int], wanted: int) -> Iterator[tuple[int, int]]:
+    while wanted:
+        fitting = [child for child in room if room[child] >= wanted]
+        if fitting:
+            yield min(fitting, key=room.__getitem__), wanted
+            return
+        largest = max(room, key=room.__getitem__)
+        given = room.pop(largest)
+        wanted -= given
+        yield largest, given
+
+
+def _add_cpu_victims(
+    fleet: Fleet, member: Member, shape: Shape, found: dict[str, None]
+) -> None:
+    """Add jobs without accelerators until the member's cores and memory suffice.
+
+    Jobs that are victims already come first, then jobs already being evicted.
+    """
+    usage = fleet.hosts[member.host]
+    cores = usage.free_cores - member.tasks * shape.cores
+    memory_gb = usage.free_memory_gb - member.tasks * shape.memory_gb
+    jobs = [fleet.jobs[job_id] for job_id in reversed(usage.jobs)]
+    going = [job for job in jobs if job.job_id in found]
+    evicting = [job for job in jobs if job.evicting and job.job_id not in found]
+    others = [
+        job
+        for job in jobs
+        if not (job.protected or job.allocated_accelerators or job.evicting)
+    ]
+    for job in (*going, *evicting, *others):
+        if job.job_id not in found and cores >= 0 and memory_gb >= 0:
+            return
+        found[job.job_id] = None
+        cores += usage.jobs[job.job_id] * job.shape.cores
+        memory_gb += usage.jobs[job.job_id] * job.shape.memory_gb
--- a/libs/scheduling/src/bilberryhitch_scheduling/cells.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/cells.py
@@ -1,9 +1,9 @@
 """The cell tree of one data centre and pool.
 
-Levels: accelerator, aligned blocks of 2 and 4, worker, aligned pairs and quads of
-adjacent workers, rack, aligned groups of adjacent racks, data centre. Two cells of
-equal structure have the same :class:`CellKind`; guarantees are counted by kind
-(buddy cells, HiveD, OSDI 2020).
+A cell is an aligned group of adjacent accelerators. Levels: accelerator, aligned
+blocks of 2 and 4, worker, aligned groups of 2 and 4 adjacent workers, rack, aligned
+groups of adjacent racks, data centre. Cells of equal structure have the same
+:class:`CellKind`; guarantees are counted by kind (buddy cells of HiveD, OSDI 2020).
 """
 
 from collections.abc import Iterable, Iterator
@@ -11,28 +11,29 @@
 
 from bilberryhitch_model import Host, Shape
 
-from .cell_plans import CellPlan, Profile, plan_data_centre
+from .cell_plans import CellPlan, WorkerProfile, plan_data_centre
 
 
 class CellKind(NamedTuple):
     """Structure of a cell.
 
     :param size: accelerators in the cell
-    :param profile: the worker's profile for a cell within one worker
-    :param grouped: whether it joins several racks
+    :param profile: profile of the worker for a cell within one worker
+    :param spans_racks: whether it joins several racks
     :param children: numbers of the kinds of the child cells, in order
     """
 
     number: int
     size: int
-    profile: Profile | None
+    profile: WorkerProfile | None
     children: tuple[int, ...]
-    grouped: bool
+    spans_racks: bool
 
 
 class Cell(NamedTuple):
-    """A cell; its accelerators are ``start`` up to ``start + size``.
+    """A cell; it has the accelerators from ``start`` to ``start + size - 1``.
 
+    :param kind: number of its kind
     :param parent: number of the parent cell, -1 at the root
     """
 
@@ -44,12 +45,12 @@
     children: tuple[int, ...]
 
 
-def effective_accelerators(shape: Shape, profile: Profile) -> int:
-    """Accelerators that one task occupies on a worker.
+def effective_accelerators(shape: Shape, profile: WorkerProfile) -> int:
+    """Return the accelerators that one task takes on a worker.
 
-    Each accelerator stands for an equal part of its worker's cores and memory, so
-    that a guarantee counted in accelerators covers them too. A task that asks for
-    more than its part occupies further accelerators.
+    Each accelerator comes with an equal part of its worker's cores and memory, so
+    that a guarantee counted in accelerators covers these too. A task that asks for
+    more than these parts takes additional accelerators.
 
     :returns: 0 if the task does not fit on such a worker
     """
@@ -65,13 +66,15 @@
 class CellTree:
     """Cells over the workers that have accelerators.
 
-    :ivar cells: all cells; the root is the last one
-    :ivar kinds: all kinds of cells
+    :ivar cells: all cells by number; the root is the last one
+    :ivar kinds: all kinds of cells by number
+    :ivar by_kind: cells of each kind
     :ivar contains: ``contains[k][j]`` cells of kind ``j`` lie inside one of kind ``k``
-    :ivar hosts: the worker of each accelerator
-    :ivar first: the first accelerator of each worker
-    :ivar worker_size: accelerators of the largest worker
+    :ivar host_of_accelerator: worker of each accelerator
+    :ivar first_accelerator: number of the first accelerator of each worker
     :ivar leaves: the smallest cell of each accelerator
+    :ivar profiles: resources of each worker
+    :ivar max_worker_accelerators: accelerators of the largest worker
     """
 
     def __init__(self, hosts: Iterable[Host]) -> None:
@@ -79,41 +82,41 @@
         self.kinds: list[CellKind] = []
         self.by_kind: list[list[int]] = []
         self.contains: list[dict[int, int]] = []
-        self.hosts: list[str] = []
-        self.first: dict[str, int] = {}
+        self.host_of_accelerator: list[str] = []
+        self.first_accelerator: dict[str, int] = {}
         self.leaves: list[int] = []
-        self.profiles: dict[str, Profile] = {}
-        self._interned: dict[tuple[object, ...], int] = {}
+        self.profiles: dict[str, WorkerProfile] = {}
+        self._kind_numbers: dict[tuple[object, ...], int] = {}
         self._capacity: dict[Shape, list[int]] = {}
-        self._candidates: dict[Shape, tuple[int, ...]] = {}
-        self._holders: dict[int, tuple[int, ...]] = {}
+        self._candidate_kinds: dict[Shape, tuple[int, ...]] = {}
+        self._containing_kinds: dict[int, tuple[int, ...]] = {}
         plan = plan_data_centre([host for host in hosts if host.accelerators > 0])
         if plan is not None:
-            self._number(plan)
+            self._add_cell(plan)
             self._link_parents()
         sizes = [profile.accelerators for profile in self.profiles.values()]
-        self.worker_size = max(sizes, default=0)
+        self.max_worker_accelerators = max(sizes, default=0)
 
     @property
     def accelerators(self) -> int:
-        """Accelerators in the tree."""
-        return len(self.hosts)
+        """Number of accelerators in the tree."""
+        return len(self.host_of_accelerator)
 
     def accelerators_of(self, host: str) -> range:
-        """Return the accelerators of a worker."""
-        start = self.first.get(host)
+        """Return the accelerators of a worker, empty if it has none."""
+        start = self.first_accelerator.get(host)
         if start is None:
             return range(0)
         return range(start, start + self.profiles[host].accelerators)
 
     def hosts_in(self, cell: int) -> Iterator[tuple[str, range]]:
-        """Yield the workers that a cell touches, with its accelerators there."""
+        """Yield the workers that a cell overlaps, with its accelerators on each."""
         start, end = (
             self.cells[cell].start,
             self.cells[cell].start + self.cells[cell].size,
         )
         while start < end:
-            host = self.hosts[start]
+            host = self.host_of_accelerator[start]
             stop = min(end, self.accelerators_of(host).stop)
             yield host, range(start, stop)
             start = stop
@@ -129,14 +132,14 @@
             self._capacity[per_task] = found
         return found
 
-    def candidates(self, shape: Shape) -> tuple[int, ...]:
+    def candidate_kinds(self, shape: Shape) -> tuple[int, ...]:
         """Return the smallest kinds of cells that can hold the gang, small first.
 
-        A gang is adjacent when it lies in one cell of such a kind. A gang that no
-        rack holds may lie in any group of adjacent racks: the smallest aligned group
-        may be a large part of the data centre, and is hardly ever free.
+        A gang must lie in one cell of such a kind. A gang that no rack can hold may
+        use any group of adjacent racks that can: the smallest aligned group may be a
+        large part of the data centre and is rarely free.
         """
-        found = self._candidates.get(shape)
+        found = self._candidate_kinds.get(shape)
         if found is None:
             capacity = self.capacity(shape)
             holding = [k for k in self.kinds if capacity[k.number] >= shape.tasks]
@@ -145,16 +148,16 @@
                 for kind in holding
                 if all(capacity[child] < shape.tasks for child in kind.children)
             ]
-            if all(kind.grouped for kind in kinds):
+            if all(kind.spans_racks for kind in kinds):
                 kinds = holding
             kinds.sort(key=lambda kind: (kind.size, kind.number))
             found = tuple(kind.number for kind in kinds)
-            self._candidates[shape] = found
+            self._candidate_kinds[shape] = found
         return found
 
-    def holders(self, kind: int) -> tuple[int, ...]:
-        """Return the kinds that are or contain a kind, small first."""
-        found = self._holders.get(kind)
+    def containing_kinds(self, kind: int) -> tuple[int, ...]:
+        """Return a kind and the kinds that contain it, small first."""
+        found = self._containing_kinds.get(kind)
         if found is None:
             kinds = [
                 k
@@ -162,30 +165,32 @@
                 if k.number == kind or kind in self.contains[k.number]
             ]
             kinds.sort(key=lambda k: (k.size, k.number))
-            found = self._holders[kind] = tuple(k.number for k in kinds)
+            found = self._containing_kinds[kind] = tuple(k.number for k in kinds)
         return found
 
     def guarantee_shape(self, accelerators: int) -> Shape:
-        """Return the gang that stands for a guaranteed cell.
+        """Return the shape that a guaranteed cell must be able to hold.
 
-        Up to the largest worker's size the cell is a block within one worker, so
-        that one task can use all of it; above, it is made of whole such workers.
+        Up to the size of the largest worker, the cell is a block within one worker,
+        so that one task can use all of it. A larger cell consists of such workers.
+
+        :param accelerators: size of the guaranteed cell
         """
-        largest = max(1, self.worker_size)
+        largest = max(1, self.max_worker_accelerators)
         if accelerators <= largest:
             return Shape(tasks=1, accelerators=accelerators, cores=0, memory_gb=0)
         tasks = -(-accelerators // largest)
         return Shape(tasks=tasks, accelerators=largest, cores=0, memory_gb=0)
 
-    def inside(self, cell: int, kind: int) -> Iterator[int]:
-        """Yield the cells of a kind inside a cell, including itself."""
+    def cells_inside(self, cell: int, kind: int) -> Iterator[int]:
+        """Yield the cells of a kind inside a cell, the cell itself included."""
         if self.cells[cell].kind == kind:
             yield cell
             return
         for child in self.cells[cell].children:
             child_kind = self.cells[child].kind
             if child_kind == kind or kind in self.contains[child_kind]:
-                yield from self.inside(child, kind)
+                yield from self.cells_inside(child, kind)
 
     def _kind_capacity(self, kind: CellKind, shape: Shape, found: list[int]) -> int:
         if kind.profile is None:
@@ -193,30 +198,30 @@
         needed = effective_accelerators(shape, kind.profile)
         return kind.size // needed if needed else 0
 
-    def _number(self, plan: CellPlan) -> int:
-        start = len(self.hosts)
+    def _add_cell(self, plan: CellPlan) -> int:
+        start = len(self.host_of_accelerator)
         if not plan.children:
             host = plan.hosts[0]
-            self.first.setdefault(host.name, start)
-            self.hosts.append(host.name)
+            self.first_accelerator.setdefault(host.name, start)
+            self.host_of_accelerator.append(host.name)
             self.leaves.append(len(self.cells))
-        children = tuple(self._number(child) for child in plan.children)
+        children = tuple(self._add_cell(child) for child in plan.children)
         if plan.profile is not None:
             self.profiles.setdefault(plan.hosts[0].name, plan.profile)
         kinds = tuple(self.cells[child].kind for child in children)
-        kind = self._intern(plan, kinds)
+        kind = self._kind_number(plan, kinds)
         cell = Cell(len(self.cells), kind, start, plan.size, -1, children)
         self.cells.append(cell)
         self.by_kind[kind].append(cell.number)
         return cell.number
 
-    def _intern(self, plan: CellPlan, children: tuple[int, ...]) -> int:
-        key = (plan.grouped, plan.size, plan.profile, children)
-        kind = self._interned.get(key)
+    def _kind_number(self, plan: CellPlan, children: tuple[int, ...]) -> int:
+        key = (plan.spans_racks, plan.size, plan.profile, children)
+        kind = self._kind_numbers.get(key)
         if kind is None:
-            kind = self._interned[key] = len(self.kinds)
+            kind = self._kind_numbers[key] = len(self.kinds)
             self.kinds.append(
-                CellKind(kind, plan.size, plan.profile, children, plan.grouped)
+                CellKind(kind, plan.size, plan.profile, children, plan.spans_racks)
             )
             self.by_kind.append([])
             inside: dict[int, int] = {}
--- a/libs/scheduling/src/bilberryhitch_scheduling/clearing.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/clearing.py
@@ -1,4 +1,4 @@
-"""Places that are spare, and places that evictions of borrowers clear."""
+"""Placements on spare capacity, and placements that need evictions of borrowers."""
 
 from collections.abc import Callable, Iterator
 from functools import partial
@@ -6,96 +6,113 @@
 
 from bilberryhitch_model import Member, Shape
 
+from .cell_search import AvailableCount, place_in_cell, search_cells
 from .fleet import Fleet
 from .jobs import Job
-from .placement import Left, fill, search
 
-GROUPS_TRIED = 32  # groups of equal cells examined for one spare or urgent start
+MAX_GROUPS_TRIED = 32  # groups of cells examined per spare or urgent allocation
 
 
-def spare_places(fleet: Fleet, shape: Shape) -> Iterator[list[Member]]:
-    """Yield places for a gang on accelerators that are unused and not guaranteed.
+def spare_placements(fleet: Fleet, shape: Shape) -> Iterator[list[Member]]:
+    """Yield placements of a gang on free accelerators outside bound cells.
 
-    Whether the guarantees can be held beside it is for the caller to check.
+    The caller checks whether all guarantees still fit beside such a placement.
     """
-    left = spare_left(fleet)
-    for number, group in enumerate(search(fleet.tree, fleet.clear, shape)):
-        if number >= GROUPS_TRIED:
+    available = count_spare(fleet)
+    for number, group in enumerate(search_cells(fleet.tree, fleet.reclaimable, shape)):
+        if number >= MAX_GROUPS_TRIED:
             return
         for cell in group:
-            members = fill(fleet, left, cell, shape)
+            members = place_in_cell(fleet, available, cell, shape)
             if members is not None:
                 yield members
 
 
-def preempting_places(fleet: Fleet, shape: Shape, now: float) -> Iterator[list[Member]]:
-    """Yield places outside bound cells that evictions clear, least work first."""
-    left = clearable_left(fleet, lambda owner: not (owner.firm or owner.urgent))
+def preempting_placements(
+    fleet: Fleet, shape: Shape, now: float
+) -> Iterator[list[Member]]:
+    """Yield placements outside bound cells that need evictions, cheapest first."""
+    available = count_obtainable(
+        fleet, lambda owner: not (owner.protected or owner.urgent)
+    )
 
-    def outside(cell: int) -> int:
-        if not fleet.clear.taken[cell]:
-            return left(cell)
+    def available_outside(cell: int) -> int:
+        if not fleet.reclaimable.taken[cell]:
+            return available(cell)
         children = fleet.tree.cells[cell].children
-        return sum(outside(child) for child in children)
+        return sum(available_outside(child) for child in children)
 
-    work = partial(evicted_work, fleet, now=now)
-    groups = islice(search(fleet.tree, fleet.clear, shape), GROUPS_TRIED)
+    work = partial(eviction_cost, fleet, now=now)
+    groups = islice(
+        search_cells(fleet.tree, fleet.reclaimable, shape), MAX_GROUPS_TRIED
+    )
     for cell in sorted(chain.from_iterable(groups), key=work):
-        members = fill(fleet, outside, cell, shape)
+        members = place_in_cell(fleet, available_outside, cell, shape)
         if members is not None:
             yield members
 
 
-def fill_evicting(fleet: Fleet, cell: int, shape: Shape) -> list[Member] | None:
-    """Place inside a bound cell, on free accelerators if they suffice."""
-    members = fill(fleet, fleet.free.left, cell, shape)
+def place_with_evictions(fleet: Fleet, cell: int, shape: Shape) -> list[Member] | None:
+    """Place a gang inside a bound cell, on free accelerators if they suffice.
+
+    :returns: one member per worker, or ``None`` if the gang does not fit
+    """
+    members = place_in_cell(fleet, fleet.free.available, cell, shape)
     if members is None:
-        left = clearable_left(fleet, lambda owner: not owner.firm)
-        members = fill(fleet, left, cell, shape)
+        available = count_obtainable(fleet, lambda owner: not owner.protected)
+        members = place_in_cell(fleet, available, cell, shape)
     return members
 
 
-def evicted_work(fleet: Fleet, cell: int, now: float) -> tuple[float, int]:
-    """Return the work that borrowers in a cell would lose, then its use.
+def eviction_cost(fleet: Fleet, cell: int, now: float) -> tuple[float, int]:
+    """Return the work that evicting a cell's jobs discards, then its marked count.
 
-    The work is in accelerator seconds since their starts.
+    The work is in accelerator seconds; jobs already being evicted count as nothing.
     """
     if not fleet.free.taken[cell]:
         return 0.0, 0
     row = fleet.tree.cells[cell]
     owners = {fleet.owner[a] for a in range(row.start, row.start + row.size)}
     jobs = [fleet.jobs[owner] for owner in owners if owner is not None]
-    work = sum(job.work_done(now) for job in jobs if not job.evicting)
+    work = sum(job.eviction_cost(now) for job in jobs if not job.evicting)
     return work, fleet.free.taken[cell]
 
 
-def spare_left(fleet: Fleet) -> Left:
-    """Count accelerators that are both unused and not in a bound cell."""
+def count_spare(fleet: Fleet) -> AvailableCount:
+    """Return a function that counts the spare accelerators of a cell.
+
+    Spare accelerators are free and in no bound cell.
+    """
 
-    def left(cell: int) -> int:
-        if not fleet.clear.taken[cell]:
-            return fleet.free.left(cell)
+    def available(cell: int) -> int:
+        if not fleet.reclaimable.taken[cell]:
+            return fleet.free.available(cell)
         if not fleet.free.taken[cell]:
-            return fleet.clear.left(cell)
-        return sum(left(child) for child in fleet.tree.cells[cell].children)
+            return fleet.reclaimable.available(cell)
+        return sum(available(child) for child in fleet.tree.cells[cell].children)
+
+    return available
 
-    return left
 
+def count_obtainable(fleet: Fleet, may_evict: Callable[[Job], bool]) -> AvailableCount:
+    """Return a function that counts the obtainable accelerators of a cell.
 
-def clearable_left(fleet: Fleet, may_evict: Callable[[Job], bool]) -> Left:
-    """Count accelerators that are free or become free by allowed evictions."""
+    They are free, or become free by evictions that ``may_evict`` allows.
+    """
 
-    def left(cell: int) -> int:
+    def available(cell: int) -> int:
         start, size = fleet.tree.cells[cell].start, fleet.tree.cells[cell].size
-        return sum(_clearable(fleet, a, may_evict) for a in range(start, start + size))
+        return sum(
+            _is_obtainable(fleet, a, may_evict) for a in range(start, start + size)
+        )
 
-    return left
+    return available
 
 
-def _clearable(
+def _is_obtainable(
     fleet: Fleet, accelerator: int, may_evict: Callable[[Job], bool]
 ) -> bool:
-    if not fleet.usable(fleet.tree.hosts[accelerator]):
+    if not fleet.usable(fleet.tree.host_of_accelerator[accelerator]):
         return False
     users = (fleet.owner[accelerator], fleet.claim[accelerator])
     return all(user is None or may_evict(fleet.jobs[user]) for user in users)
--- a/libs/scheduling/src/bilberryhitch_scheduling/feasibility.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/feasibility.py
@@ -1,65 +1,74 @@
-"""Whether a job can ever run, judged on the pool without any other work."""
+"""Whether a job could run in the pool if no other work were running."""
 
 from collections.abc import Iterable
 
 from bilberryhitch_model import Host, Pool, Shape
 
-from .estimates import Estimates
+from .allocator import Allocator
+from .cell_search import place_in_cell, search_cells
 from .fleet import Fleet
-from .guarantees import Guarantees
+from .guaranteed_cells import GuaranteedCells
 from .jobs import Job
-from .placement import fill, search
-from .starting import Starter
+from .run_time_estimates import RunTimeEstimates
 
 
 class Feasibility:
-    """Answers by shape, remembered until the pool changes.
+    """Admission check against an idle pool; results are cached per shape.
 
-    :param hosts: all workers of the pool, including lost ones: they come back
+    :param hosts: all workers of the pool, including lost ones, which may come back
+    :param pool: row of the pool; build a new object when it changes
     """
 
     def __init__(self, hosts: Iterable[Host], pool: Pool, data_centre: str) -> None:
         self._fleet = Fleet(hosts)
         rows = [row for row in pool.guarantees if row.data_centre == data_centre]
-        guarantees = Guarantees(self._fleet.tree, self._fleet.clear, rows)
-        self._starter = Starter(
-            self._fleet, guarantees, Estimates(), displace=_no_displacement
+        guarantees = GuaranteedCells(self._fleet.tree, self._fleet.reclaimable, rows)
+        self._allocator = Allocator(
+            self._fleet, guarantees, RunTimeEstimates(), displace=_ignore_displaced
         )
-        self._starter.borrowing = pool.borrowing
-        self._spare: dict[Shape, bool] = {}
+        self._allocator.borrowing = pool.borrowing
+        self._fits_spare_by_shape: dict[Shape, bool] = {}
 
-    def refusal(self, job: Job) -> str:
-        """Return the rule by which the job can never run, or an empty string."""
-        starter, shape = self._starter, job.shape
+    def infeasible_reason(self, job: Job) -> str:
+        """Return the rule that keeps the job from ever running, empty for none."""
+        allocator, shape = self._allocator, job.shape
         if shape.tasks < 1:
             return "a gang has at least one task"
         if shape.accelerators == 0:
-            fits = self._fleet.core_members(shape, firm=not job.queued.may_borrow)
+            fits = self._fleet.cpu_members(shape, protected=not job.spec.may_borrow)
             if fits is not None:
                 return ""
-        if not starter.counts_accelerators(job) or not self._fleet.tree.candidates(
-            shape
-        ):
+        if not allocator.occupies_accelerators(
+            job
+        ) or not self._fleet.tree.candidate_kinds(shape):
             return "no cell of the pool holds the gang"
-        if not starter.must_be_firm(job):
+        if not allocator.requires_protection(job):
             return ""
-        keys = starter.guarantees.keys(job.queued.client_account)
-        if any(starter.fits(job, key) for key in keys) or self._fits_spare(shape):
+        keys = allocator.guarantees.keys(job.spec.client_account)
+        if any(allocator.fits_guarantee(job, key) for key in keys) or self._fits_spare(
+            shape
+        ):
             return ""
         return "it may not borrow, and no guarantee or spare capacity holds the gang"
 
     def _fits_spare(self, shape: Shape) -> bool:
-        found = self._spare.get(shape)
+        found = self._fits_spare_by_shape.get(shape)
         if found is None:
             found = any(
-                self._starter.keeps_guarantees(members)
-                for group in search(self._fleet.tree, self._fleet.clear, shape)
+                self._allocator.keeps_guarantees(members)
+                for group in search_cells(
+                    self._fleet.tree, self._fleet.reclaimable, shape
+                )
                 for cell in group
-                if (members := fill(self._fleet, self._fleet.clear.left, cell, shape))
+                if (
+                    members := place_in_cell(
+                        self._fleet, self._fleet.reclaimable.available, cell, shape
+                    )
+                )
             )
-            self._spare[shape] = found
+            self._fits_spare_by_shape[shape] = found
         return found
 
 
-def _no_displacement(job: Job) -> None:
-    """Nothing waits for evictions in an empty pool."""
+def _ignore_displaced(job: Job) -> None:
+    """Do nothing: no job waits for evictions in an idle pool."""
--- a/libs/scheduling/src/bilberryhitch_scheduling/fleet.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/fleet.py
@@ -1,59 +1,67 @@
-"""Who uses which accelerators, cores and memory of a data centre's pool."""
+"""Which accelerators, cores and memory of a pool are allocated to which job."""
 
 from collections.abc import Iterable, Sequence
 
 from bilberryhitch_model import Host, Member, Shape
 
+from .cell_index import CellIndex
 from .cells import CellTree, effective_accelerators
 from .jobs import Job
-from .occupancy import CellIndex
 
 
-class HostUse:
-    """What is used on one worker.
+class HostUsage:
+    """Free resources and running tasks of one worker.
 
-    :ivar unusable: reasons why it takes no new work; empty if it does
-    :ivar jobs: jobs with tasks on it, and how many tasks
+    :ivar free_cores: cores that are not allocated; negative while a job that
+        claims them waits for evictions
+    :ivar free_memory_gb: memory that is not allocated, in GB
+    :ivar jobs: number of tasks on the worker by job id, in order of allocation
+    :ivar unusable: reasons why the worker takes no new work; empty if it does
     """
 
-    __slots__ = ("cores", "host", "jobs", "memory_gb", "unusable")
+    __slots__ = ("free_cores", "free_memory_gb", "host", "jobs", "unusable")
 
     def __init__(self, host: Host) -> None:
         self.host = host
-        self.cores = host.cores
-        self.memory_gb = host.memory_gb
+        self.free_cores = host.cores
+        self.free_memory_gb = host.memory_gb
         self.jobs: dict[str, int] = {}
         self.unusable: set[str] = set()
 
 
 class Fleet:
-    """Bookkeeping of placements; all updates are incremental.
-
-    A job that waits for evictions claims accelerators that others still own; they
-    become its own when their owner is removed.
-
-    :ivar free: marks accelerators that are owned, claimed, reserved or unusable
-    :ivar clear: marks accelerators that evictions cannot make free
-    :ivar owner: job that occupies each accelerator
-    :ivar claim: job that waits for each accelerator
+    """Allocations of one pool in one data centre; all updates are incremental.
+
+    A job that waits for evictions claims accelerators that other jobs still own. It
+    becomes their owner when the other job is released.
+
+    :ivar tree: cells of the pool's workers
+    :ivar free: accelerators are marked in it if they are owned, claimed, reserved
+        or unusable
+    :ivar reclaimable: accelerators are marked in it if evictions of borrowers cannot
+        free them
+    :ivar owner: id of the job that owns each accelerator, or ``None``
+    :ivar claim: id of the job that claims each accelerator, or ``None``
+    :ivar hosts: usage of each worker by name
+    :ivar jobs: allocated jobs by id
     """
 
     def __init__(self, hosts: Iterable[Host]) -> None:
         rows = list(hosts)
         self.tree = CellTree(rows)
         self.free = CellIndex(self.tree)
-        self.clear = CellIndex(self.tree)
+        self.reclaimable = CellIndex(self.tree)
         self.owner: list[str | None] = [None] * self.tree.accelerators
         self.claim: list[str | None] = [None] * self.tree.accelerators
-        self.hosts = {host.name: HostUse(host) for host in rows}
+        self.hosts = {host.name: HostUsage(host) for host in rows}
         self.jobs: dict[str, Job] = {}
-        self._by_cores: dict[int, dict[str, None]] = {}
-        self._most_cores = 0
+        self._hosts_by_free_cores: dict[int, dict[str, None]] = {}
+        self._max_free_cores = 0
         for name in self.hosts:
-            self._list_cores(name)
+            self._index_by_free_cores(name)
 
-    def place(self, job: Job, members: Sequence[Member]) -> None:
-        """Give the members' resources to a job, or claims on them."""
+    def allocate(self, job: Job, members: Sequence[Member]) -> None:
+        """Allocate the members to a job; accelerators in use are claimed."""
         job.members = tuple(members)
         self.jobs[job.job_id] = job
         for member in members:
@@ -63,13 +71,13 @@
                     self.owner[accelerator] = job.job_id
                 else:
                     self.claim[accelerator] = job.job_id
-            self.free.take(taken)
-            if job.firm:
-                self.clear.take(taken)
-            self._use(member, job, 1)
+            self.free.mark(taken)
+            if job.protected:
+                self.reclaimable.mark(taken)
+            self._update_host_usage(member, job, 1)
 
-    def remove(self, job: Job) -> None:
-        """Take a job's resources and claims back."""
+    def release(self, job: Job) -> None:
+        """Release a job's resources and claims."""
         del self.jobs[job.job_id]
         for member in job.members:
             taken = self.accelerators(member)
@@ -77,100 +85,104 @@
                 if self.owner[accelerator] == job.job_id:
                     self.owner[accelerator] = self.claim[accelerator]
                 self.claim[accelerator] = None
-            self.free.give(taken)
-            if job.firm:
-                self.clear.give(taken)
-            self._use(member, job, -1)
+            self.free.unmark(taken)
+            if job.protected:
+                self.reclaimable.unmark(taken)
+            self._update_host_usage(member, job, -1)
         job.members = ()
 
     def accelerators(self, member: Member) -> list[int]:
-        """Return the accelerators of a member as numbers of the tree."""
-        first = self.tree.first.get(member.host, 0)
+        """Return the accelerators of a member, numbered as in the cell tree."""
+        first = self.tree.first_accelerator.get(member.host, 0)
         return [first + index for index in member.accelerators]
 
     def usable(self, host: str) -> bool:
-        """Return whether a host takes new work."""
-        use = self.hosts.get(host)
-        return use is not None and not use.unusable
+        """Return whether a host is known and takes new work."""
+        usage = self.hosts.get(host)
+        return usage is not None and not usage.unusable
 
     def set_unusable(self, host: str, reason: str, value: bool) -> None:
         """Add or remove a reason why a host takes no new work."""
-        use = self.hosts.get(host)
-        if use is None or (reason in use.unusable) == value:
+        usage = self.hosts.get(host)
+        if usage is None or (reason in usage.unusable) == value:
             return
-        was_usable = not use.unusable
-        self._unlist_cores(host)
+        was_usable = not usage.unusable
+        self._unindex_by_free_cores(host)
         if value:
-            use.unusable.add(reason)
+            usage.unusable.add(reason)
         else:
-            use.unusable.remove(reason)
-        self._list_cores(host)
-        if was_usable == (not use.unusable):
+            usage.unusable.remove(reason)
+        self._index_by_free_cores(host)
+        if was_usable == (not usage.unusable):
             return
         accelerators = self.tree.accelerators_of(host)
-        for index in (self.free, self.clear):
+        for index in (self.free, self.reclaimable):
             if value:
-                index.take(accelerators)
+                index.mark(accelerators)
             else:
-                index.give(accelerators)
+                index.unmark(accelerators)
 
-    def core_members(self, shape: Shape, firm: bool) -> list[Member] | None:
+    def cpu_members(self, shape: Shape, protected: bool) -> list[Member] | None:
         """Find workers for tasks without accelerators; best fit by free cores.
 
-        :param firm: only on workers without accelerators, where no guarantee lies
+        :param protected: use only workers without accelerators, because no
+            guarantee can need their cores
+        :returns: one member per worker, or ``None`` if not all tasks fit
         """
-        left = shape.tasks
+        tasks_left = shape.tasks
         members: list[Member] = []
-        for cores in range(max(shape.cores, 0), self._most_cores + 1):
-            for name in self._by_cores.get(cores, ()):
-                use = self.hosts[name]
-                if firm and use.host.accelerators:
+        for cores in range(max(shape.cores, 0), self._max_free_cores + 1):
+            for name in self._hosts_by_free_cores.get(cores, ()):
+                usage = self.hosts[name]
+                if protected and usage.host.accelerators:
                     continue
-                fits = min(left, _fits(shape, use))
+                fits = min(tasks_left, _tasks_that_fit(shape, usage))
                 if fits:
-                    members.append(Member(name, (), fits, use.host.boot_id))
-                    left -= fits
-                if not left:
+                    members.append(Member(name, (), fits, usage.host.boot_id))
+                    tasks_left -= fits
+                if not tasks_left:
                     return members
         return None
 
-    def member(self, host: str, accelerators: list[int], tasks: int) -> Member:
-        """Return a member in terms of the worker's own accelerator numbers."""
-        first = self.tree.first[host]
+    def make_member(self, host: str, accelerators: list[int], tasks: int) -> Member:
+        """Return a member whose accelerators are numbered within its worker."""
+        first = self.tree.first_accelerator[host]
         indices = tuple(sorted(number - first for number in accelerators))
         return Member(host, indices, tasks, self.hosts[host].host.boot_id)
 
-    def per_task(self, host: str, shape: Shape) -> int:
-        """Return the accelerators that one task occupies on a host, 0 if none fits."""
+    def accelerators_per_task(self, host: str, shape: Shape) -> int:
+        """Return the accelerators one task takes on a host, 0 if it does not fit."""
         return effective_accelerators(shape, self.tree.profiles[host])
 
-    def _use(self, member: Member, job: Job, sign: int) -> None:
-        use = self.hosts.get(member.host)
-        if use is None:
+    def _update_host_usage(self, member: Member, job: Job, sign: int) -> None:
+        usage = self.hosts.get(member.host)
+        if usage is None:
             return
-        self._unlist_cores(member.host)
-        use.cores -= sign * member.tasks * job.shape.cores
-        use.memory_gb -= sign * member.tasks * job.shape.memory_gb
+        self._unindex_by_free_cores(member.host)
+        usage.free_cores -= sign * member.tasks * job.shape.cores
+        usage.free_memory_gb -= sign * member.tasks * job.shape.memory_gb
         if sign > 0:
-            use.jobs[job.job_id] = member.tasks
+            usage.jobs[job.job_id] = member.tasks
         else:
-            use.jobs.pop(job.job_id, None)
-        self._list_cores(member.host)
+            usage.jobs.pop(job.job_id, None)
+        self._index_by_free_cores(member.host)
 
-    def _list_cores(self, name: str) -> None:
-        use = self.hosts[name]
-        if use.unusable or use.cores <= 0:
+    def _index_by_free_cores(self, name: str) -> None:
+        usage = self.hosts[name]
+        if usage.unusable or usage.free_cores <= 0:
             return
-        self._by_cores.setdefault(use.cores, {})[name] = None
-        self._most_cores = max(self._most_cores, use.cores)
+        self._hosts_by_free_cores.setdefault(usage.free_cores, {})[name] = None
+        self._max_free_cores = max(self._max_free_cores, usage.free_cores)
 
-    def _unlist_cores(self, name: str) -> None:
-        bucket = self._by_cores.get(self.hosts[name].cores)
+    def _unindex_by_free_cores(self, name: str) -> None:
+        bucket = self._hosts_by_free_cores.get(self.hosts[name].free_cores)
         if bucket is not None:
             bucket.pop(name, None)
 
 
-def _fits(shape: Shape, use: HostUse) -> int:
-    by_cores = use.cores // shape.cores if shape.cores else shape.tasks
-    by_memory = use.memory_gb // shape.memory_gb if shape.memory_gb else shape.tasks
+def _tasks_that_fit(shape: Shape, usage: HostUsage) -> int:
+    by_cores = usage.free_cores // shape.cores if shape.cores else shape.tasks
+    by_memory = (
+        usage.free_memory_gb // shape.memory_gb if shape.memory_gb else shape.tasks
+    )
     return max(0, min(by_cores, by_memory))
--- a/libs/scheduling/src/bilberryhitch_scheduling/jobs.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/jobs.py
@@ -1,14 +1,15 @@
-"""What the scheduler keeps for each job."""
+"""State that the scheduler keeps for each job."""
 
 from typing import Literal
 
 from bilberryhitch_model import Member, Placement, QueuedJob, Shape
 
 from .fair_groups import Entry
-from .guarantees import BoundCell
+from .guaranteed_cells import BoundCell
 
-# A gang that just began would else be the cheapest to evict, and never finish.
-RESTART_S = 60.0
+# Added to the run time in the eviction cost. Without it, a gang that has just
+# started is always the cheapest victim and might never finish.
+RESTART_COST_S = 60.0
 
 JobStage = Literal["queued", "clearing", "starting", "running"]
 
@@ -16,78 +17,88 @@
 class Job:
     """A job that is queued or holds resources.
 
-    :ivar stage: ``clearing`` while evictions for it are not confirmed
-    :ivar firm: it cannot be evicted
-    :ivar cell: the bound guaranteed cell it runs in
-    :ivar waiting: borrowers whose eviction it waits for
-    :ivar evicting: an eviction of it was decided
-    :ivar expected_s: median run time expected when it was placed
-    :ivar charged_s: run time charged so far for its present place
-    :ivar guaranteed: its present place is inside its account's guarantee
-    :ivar ran: it was started before, so nobody may be told that it was not run
+    :ivar spec: the job as it was submitted
+    :ivar charged_accelerators: accelerators that its account is charged for
+    :ivar entry: its entry in the fair queue while it is queued
+    :ivar stage: ``clearing`` while it waits for evictions to be confirmed
+    :ivar protected: whether it is non-preemptible where it runs
+    :ivar bound_cell: the guaranteed cell it runs in
+    :ivar members: its current allocation, one member per worker
+    :ivar pending_evictions: ids of the borrowers whose eviction it waits for
+    :ivar evicting: whether its eviction was decided
+    :ivar started_at: loop time of its last start, in seconds
+    :ivar expected_s: median run time expected at allocation, in seconds
+    :ivar expected_p90_s: p90 of the run time expected at allocation, in seconds
+    :ivar charged_s: run time charged so far for its current allocation, in seconds
+    :ivar guaranteed: whether its current allocation counts against its account's
+        guarantee
+    :ivar was_started: whether it was started before; its caller must not be told
+        any more that the job was not run
     """
 
     __slots__ = (
-        "cell",
+        "bound_cell",
+        "charged_accelerators",
         "charged_s",
         "entry",
         "evicting",
         "expected_p90_s",
         "expected_s",
-        "firm",
         "guaranteed",
         "members",
-        "queued",
-        "ran",
-        "size",
+        "pending_evictions",
+        "protected",
+        "spec",
         "stage",
         "started_at",
-        "waiting",
+        "was_started",
     )
 
     def __init__(self, queued: QueuedJob, size: float) -> None:
-        self.queued = queued
-        self.size = size
+        self.spec = queued
+        self.charged_accelerators = size
         self.entry: Entry[Job] | None = None
         self.stage: JobStage = "queued"
-        self.firm = False
-        self.cell: BoundCell | None = None
+        self.protected = False
+        self.bound_cell: BoundCell | None = None
         self.members: tuple[Member, ...] = ()
-        self.waiting: set[str] = set()
+        self.pending_evictions: set[str] = set()
         self.evicting = False
         self.started_at = 0.0
         self.expected_s = 0.0
         self.expected_p90_s = 0.0
         self.charged_s = 0.0
         self.guaranteed = False
-        self.ran = False
+        self.was_started = False
 
     @property
     def job_id(self) -> str:
-        """Id of the job."""
-        return self.queued.job_id
+        """Id of the submitted job."""
+        return self.spec.job_id
 
     @property
     def shape(self) -> Shape:
-        """The gang it asks for."""
-        return self.queued.shape
+        """Tasks, and resources per task, of the gang."""
+        return self.spec.shape
 
     @property
     def urgent(self) -> bool:
-        """Whether it may preempt borrowers."""
-        return self.queued.urgency == "urgent"
+        """Whether it may preempt borrowers, within its account's share."""
+        return self.spec.urgency == "urgent"
 
     @property
     def placement(self) -> Placement:
-        """Where it runs or will run."""
-        size = self.cell.key.accelerators if self.cell is not None else 0
+        """Its current allocation and the size of its guaranteed cell."""
+        size = self.bound_cell.key.accelerators if self.bound_cell is not None else 0
         return Placement(self.members, size)
 
     @property
-    def occupied(self) -> int:
-        """Accelerators it occupies."""
+    def allocated_accelerators(self) -> int:
+        """Number of accelerators in its current allocation."""
         return sum(len(member.accelerators) for member in self.members)
 
-    def work_done(self, now: float) -> float:
-        """Return what an eviction now costs, in accelerator seconds."""
-        return self.size * (RESTART_S + max(0.0, now - self.started_at))
+    def eviction_cost(self, now: float) -> float:
+        """Return the work that an eviction would discard, in accelerator seconds."""
+        return self.charged_accelerators * (
+            RESTART_COST_S + max(0.0, now - self.started_at)
+        )
--- a/libs/scheduling/src/bilberryhitch_scheduling/scheduler.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/scheduler.py
@@ -14,25 +14,25 @@
 from bilberryhitch_model.errors import QueueFull, ShapeImpossible
 from expression import Error, Ok, Result
 
-from .estimates import Estimates
-from .explaining import BoundRow, bound_rows, explain
+from .allocator import Allocator
+from .explanations import BoundCellRow, bound_cell_rows, explain
 from .fair_groups import Entry
 from .fair_queue import Dropped
 from .feasibility import Feasibility
 from .fleet import Fleet
-from .guarantees import Guarantees
+from .guaranteed_cells import GuaranteedCells
 from .jobs import Job
 from .lifecycle import Lifecycle
-from .roster import Roster
-from .starting import Starter
+from .pool_workers import PoolWorkers
+from .run_time_estimates import RunTimeEstimates
 
 
 class PoolScheduler:
     """Decides which queued jobs start where and which borrowers are evicted.
 
-    It does no I/O and reads no clock. Time is passed in as loop time in seconds. The
-    caller carries the decisions out and reports what happened. A job that was evicted
-    or whose start failed returns to the queue by itself.
+    It does no I/O and reads no clock; all times are loop time in seconds. The caller
+    carries out the decisions and reports the results. A job that was evicted or whose
+    start failed is requeued automatically.
 
     :param hosts: rows of the workers; those outside the pool are ignored
     """
@@ -40,263 +40,279 @@
     def __init__(self, data_centre: str, pool: Pool, hosts: Sequence[Host]) -> None:
         self._data_centre = data_centre
         self._pool = pool
-        self._roster = Roster(data_centre, pool, hosts)
-        self._estimates = Estimates()
+        self._workers = PoolWorkers(data_centre, pool, hosts)
+        self._estimates = RunTimeEstimates()
         self._dropped: list[Dropped[QueuedJob]] = []
-        self._life = Lifecycle(pool.max_queued)
-        self._life.shares.set_rows(pool.shares)
-        self._build()
+        self._lifecycle = Lifecycle(pool.max_queued)
+        self._lifecycle.shares.set_rows(pool.shares)
+        self._build_cells()
 
     def submit(
         self, job: QueuedJob, now: float
     ) -> Result[None, ShapeImpossible | QueueFull]:
-        """Queue a job; a job id that is known already changes nothing.
+        """Queue a job; does nothing if the job id is known already.
 
         Another job may be dropped for it, see :meth:`take_dropped`.
+
+        :returns: :class:`ShapeImpossible` if the job could never run, or
+            :class:`QueueFull` if the job itself was dropped
         """
-        if job.job_id in self._life.jobs:
+        if job.job_id in self._lifecycle.jobs:
             return Ok(None)
-        record = Job(job, self._size(job))
-        rule = self._feasibility.refusal(record)
+        record = Job(job, self._charged_accelerators(job))
+        rule = self._feasibility.infeasible_reason(record)
         if rule:
             return Error(ShapeImpossible(job.shape, rule))
-        self._life.jobs[job.job_id] = record
-        self._life.shares.count_job(job.client_account, 1)
-        dropped = self._life.enqueue(record)
+        self._lifecycle.jobs[job.job_id] = record
+        self._lifecycle.shares.count_job(job.client_account, 1)
+        dropped = self._lifecycle.enqueue(record)
         if dropped is None:
             return Ok(None)
-        self._life.forget(dropped.item)
+        self._lifecycle.remove(dropped.item)
         if dropped.item is record:
-            limit = self._life.queue.limit
+            limit = self._lifecycle.queue.limit
             return Error(QueueFull(self._pool.name, limit, dropped.retry_after_s))
-        told = Dropped(
-            dropped.item.queued, dropped.client_account, dropped.retry_after_s
+        dropped_job = Dropped(
+            dropped.item.spec, dropped.client_account, dropped.retry_after_s
         )
-        self._dropped.append(told)
+        self._dropped.append(dropped_job)
         return Ok(None)
 
     def take_dropped(self) -> list[Dropped[QueuedJob]]:
-        """Return, once, the jobs that a full queue dropped; they were never run."""
+        """Return, once, the jobs that a full queue dropped; none of them ever ran."""
         dropped, self._dropped = self._dropped, []
         return dropped
 
     def cancel(self, job_id: str) -> bool:
         """Remove a job for which no start was decided.
 
-        :returns: ``False`` if it is unknown, starting or running: the caller stops
-            it and reports :meth:`finished`
+        :returns: ``False`` if the job is unknown, starting or running; the caller
+            must then stop it and report :meth:`finished`
         """
-        job = self._life.jobs.get(job_id)
+        job = self._lifecycle.jobs.get(job_id)
         if job is None or job.stage not in ("queued", "clearing"):
             return False
         if job.stage == "clearing":
-            self._life.release(job, 0.0)
-        self._life.forget(job)
+            self._lifecycle.release(job, 0.0)
+        self._lifecycle.remove(job)
         return True
 
     def decide(self, now: float) -> list[Decision]:
-        """Return what to do now: starts, and evictions of borrowers.
+        """Run one scheduling round and return its starts and evictions.
 
-        A job that needs evictions is started by a later call, once they all were
-        reported; until then its place is kept.
+        A job that needs evictions keeps its allocation, and a later call starts it
+        after all of them were reported.
         """
-        self._life.settle()
+        self._lifecycle.bind_adopted()
         decisions: list[Decision] = [
-            self._life.start(job, now)
-            for job in list(self._life.clearing.values())
-            if not job.waiting
+            self._lifecycle.decide_start(job, now)
+            for job in list(self._lifecycle.clearing.values())
+            if not job.pending_evictions
         ]
-        self._starter.reservations.refresh(now)
+        self._allocator.reservations.refresh(now)
         while True:
-            if self._life.freed:
-                self._life.freed = False
-                self._starter.forget_failures()
-                self._life.queue.unpark()
-            entry = self._life.queue.select()
+            if self._lifecycle.capacity_freed:
+                self._lifecycle.capacity_freed = False
+                self._allocator.clear_failed_searches()
+                self._lifecycle.queue.unpark()
+            entry = self._lifecycle.queue.select()
             if entry is not None:
-                decisions.extend(self._try(entry, now))
-            elif not self._life.freed:
+                decisions.extend(self._try_start(entry, now))
+            elif not self._lifecycle.capacity_freed:
                 return decisions
 
     def adopt(
         self, job: QueuedJob, placement: Placement, borrowed: bool, now: float
     ) -> None:
-        """Take over a job that runs already, as after a change of the planner."""
-        if job.job_id in self._life.jobs:
+        """Record a job that is already running, as after a planner failover."""
+        if job.job_id in self._lifecycle.jobs:
             return
-        record = self._life.jobs[job.job_id] = Job(job, self._size(job))
-        self._life.shares.count_job(job.client_account, 1)
-        self._starter.adopt(record, placement, borrowed)
+        record = self._lifecycle.jobs[job.job_id] = Job(
+            job, self._charged_accelerators(job)
+        )
+        self._lifecycle.shares.count_job(job.client_account, 1)
+        self._allocator.adopt(record, placement, borrowed)
         record.stage = "running"
-        record.ran = True
+        record.was_started = True
         record.started_at = now
-        self._life.place(record)
+        self._lifecycle.record_allocation(record)
 
     def started(self, job_id: str, now: float) -> None:
-        """Report that all tasks of a gang run."""
-        job = self._life.jobs.get(job_id)
+        """Report that all tasks of a gang are running."""
+        job = self._lifecycle.jobs.get(job_id)
         if job is not None and job.stage == "starting":
             job.stage = "running"
             job.started_at = now
 
     def start_failed(self, job_id: str, host: str, now: float) -> None:
-        """Report that a start was undone; the job is queued again.
+        """Report that a start was undone; the job is requeued.
 
         :param host: the worker that refused
         """
-        self._life.put_back(job_id, now)
+        self._lifecycle.requeue(job_id, now)
 
     def finished(self, job_id: str, now: float, completed: bool = True) -> None:
-        """Report the end of a job; only completed runs count for estimates."""
-        job = self._life.jobs.get(job_id)
+        """Report the end of a job; estimates use completed runs only."""
+        job = self._lifecycle.jobs.get(job_id)
         if job is None:
             return
         if job.stage == "running" and completed:
-            row, run_s = job.queued, max(0.0, now - job.started_at)
-            self._estimates.observe(row.client_account, row.kind, run_s)
+            spec, run_s = job.spec, max(0.0, now - job.started_at)
+            self._estimates.observe(spec.client_account, spec.kind, run_s)
         if job.stage != "queued":
-            self._life.release(job, now)
-        self._life.forget(job)
+            self._lifecycle.release(job, now)
+        self._lifecycle.remove(job)
 
     def evicted(self, job_id: str, now: float) -> None:
-        """Report that a borrower was stopped; it is queued again."""
-        self._life.put_back(job_id, now)
+        """Report that a borrower was stopped; it is requeued."""
+        self._lifecycle.requeue(job_id, now)
 
     def host_lost(self, host: str) -> None:
-        """Report a lost worker; the ends of its jobs are reported separately."""
-        self._mark(host, "lost", True)
+        """Report a lost worker; its jobs are reported as ended separately."""
+        self._set_unusable(host, "lost", True)
 
     def host_back(self, host: Host) -> None:
-        """Report a worker that is back, changed, or new."""
-        same_place = self._roster.put(host)
+        """Report a worker that is new, changed or available again."""
+        same_place = self._workers.put(host)
         if not same_place or host.name not in self._fleet.hosts:
-            self._roster.mark(host.name, "lost", False)
-            self._rebuild()
+            self._workers.set_unusable(host.name, "lost", False)
+            self._rebuild_cells()
             return
         self._fleet.hosts[host.name].host = host
-        self._mark(host.name, "lost", False)
-        self._mark(host.name, "leaving", host.state == "leaving")
+        self._set_unusable(host.name, "lost", False)
+        self._set_unusable(host.name, "leaving", host.state == "leaving")
 
     def quarantine(self, host: str) -> None:
-        """Give a worker no new work; what runs there goes on."""
-        self._mark(host, "quarantined", True)
+        """Give a worker no new work; its running jobs continue."""
+        self._set_unusable(host, "quarantined", True)
 
     def release(self, host: str) -> None:
-        """Give a quarantined worker work again."""
-        self._mark(host, "quarantined", False)
+        """End the quarantine of a worker."""
+        self._set_unusable(host, "quarantined", False)
 
     def set_pool(self, pool: Pool) -> None:
-        """Adopt a new row of the pools table."""
+        """Apply a changed row of the pools table."""
         self._pool = pool
-        self._life.shares.set_rows(pool.shares)
-        self._life.queue.limit = pool.max_queued
-        self._roster.pool = pool
-        members = self._roster.members()
+        self._lifecycle.shares.set_rows(pool.shares)
+        self._lifecycle.queue.limit = pool.max_queued
+        self._workers.pool = pool
+        members = self._workers.workers()
         if any(host.name not in self._fleet.hosts for host in members):
-            self._rebuild()
+            self._rebuild_cells()
             return
         names = {host.name for host in members}
         for name in self._fleet.hosts:
-            self._mark(name, "removed", name not in names)
-        self._starter.guarantees.set_rows(self._roster.guarantees())
-        self._adopt_rules()
-        for account in {job.queued.client_account for job in self._life.jobs.values()}:
-            self._life.queue.refresh(account)
-        self._life.freed = True
+            self._set_unusable(name, "removed", name not in names)
+        self._allocator.guarantees.set_rows(self._workers.guarantees())
+        self._apply_pool_row()
+        for account in {
+            job.spec.client_account for job in self._lifecycle.jobs.values()
+        }:
+            self._lifecycle.queue.refresh(account)
+        self._lifecycle.capacity_freed = True
 
     def explain(self, job_id: str) -> Explanation:
-        """Say why a job is where it is."""
-        job = self._life.jobs.get(job_id)
+        """Return why a job waits, or why it was allowed to start."""
+        job = self._lifecycle.jobs.get(job_id)
         ahead = (
-            self._life.queue.ahead(job.entry) if job is not None and job.entry else 0
+            self._lifecycle.queue.count_ahead(job.entry)
+            if job is not None and job.entry
+            else 0
         )
-        return explain(job_id, job, self._starter, self._life.shares, ahead)
+        return explain(job_id, job, self._allocator, self._lifecycle.shares, ahead)
 
     def shortfall(self) -> list[GuaranteeShortfall]:
-        """Return the guaranteed cells that cannot be held at present."""
-        self._life.settle()
-        return self._starter.guarantees.shortfall(self._data_centre)
+        """Return the guaranteed cells that cannot be provided at present."""
+        self._lifecycle.bind_adopted()
+        return self._allocator.guarantees.shortfall(self._data_centre)
 
-    def bound_cells(self) -> list[BoundRow]:
-        """Return where guarantees are bound, with their jobs."""
-        self._life.settle()
-        return bound_rows(self._fleet, self._starter.guarantees)
+    def bound_cells(self) -> list[BoundCellRow]:
+        """Return the bound guaranteed cells with their locations and jobs."""
+        self._lifecycle.bind_adopted()
+        return bound_cell_rows(self._fleet, self._allocator.guarantees)
 
-    def _build(self) -> None:
-        hosts = self._roster.members()
+    def _build_cells(self) -> None:
+        hosts = self._workers.workers()
         self._fleet = Fleet(hosts)
-        rows = self._roster.guarantees()
-        guarantees = Guarantees(self._fleet.tree, self._fleet.clear, rows)
-        self._starter = Starter(
-            self._fleet, guarantees, self._estimates, self._life.displace
+        rows = self._workers.guarantees()
+        guarantees = GuaranteedCells(self._fleet.tree, self._fleet.reclaimable, rows)
+        self._allocator = Allocator(
+            self._fleet, guarantees, self._estimates, self._lifecycle.displace
         )
-        self._life.starter = self._starter
+        self._lifecycle.allocator = self._allocator
         for host in hosts:
-            self._roster.mark(host.name, "removed", False)
-            for reason in self._roster.marks(host):
+            self._workers.set_unusable(host.name, "removed", False)
+            for reason in self._workers.unusable_reasons(host):
                 self._fleet.set_unusable(host.name, reason, True)
-        self._adopt_rules()
+        self._apply_pool_row()
 
-    def _adopt_rules(self) -> None:
-        hosts = self._roster.members()
+    def _apply_pool_row(self) -> None:
+        hosts = self._workers.workers()
         cores = sum(host.cores for host in hosts)
-        self._per_core = self._fleet.tree.accelerators / cores if cores else 1.0
-        self._starter.borrowing = self._pool.borrowing
+        self._accelerators_per_core = (
+            self._fleet.tree.accelerators / cores if cores else 1.0
+        )
+        self._allocator.borrowing = self._pool.borrowing
         self._feasibility = Feasibility(hosts, self._pool, self._data_centre)
 
-    def _rebuild(self) -> None:
-        """Build new cells for a changed set of workers and adopt what runs."""
-        for job in list(self._life.clearing.values()):
-            self._life.release(job, 0.0)
-            self._life.enqueue(job)
-        placed = [job for job in self._life.jobs.values() if job.stage != "queued"]
+    def _rebuild_cells(self) -> None:
+        """Build new cells for a changed set of workers and adopt the allocated jobs."""
+        for job in list(self._lifecycle.clearing.values()):
+            self._lifecycle.release(job, 0.0)
+            self._lifecycle.enqueue(job)
+        placed = [job for job in self._lifecycle.jobs.values() if job.stage != "queued"]
         for job in placed:
-            self._life.shares.count_use(job, -1)
-        self._build()
+            self._lifecycle.shares.count_usage(job, -1)
+        self._build_cells()
         for job in placed:
             placement = job.placement
-            job.cell = None
-            self._starter.adopt(job, placement, not job.firm)
-            self._life.shares.count_use(job, 1)
-        self._life.freed = True
+            job.bound_cell = None
+            self._allocator.adopt(job, placement, not job.protected)
+            self._lifecycle.shares.count_usage(job, 1)
+        self._lifecycle.capacity_freed = True
 
-    def _try(self, entry: Entry[Job], now: float) -> list[Decision]:
+    def _try_start(self, entry: Entry[Job], now: float) -> list[Decision]:
         job = entry.item
-        account = job.queued.client_account
-        may_preempt = job.urgent and self._life.allows_urgent(account, job.size)
-        victims = self._starter.start(job, may_preempt, now)
+        account = job.spec.client_account
+        may_preempt = job.urgent and self._lifecycle.allows_urgent(
+            account, job.charged_accelerators
+        )
+        victims = self._allocator.allocate(job, may_preempt, now)
         if victims is None:
-            self._life.queue.park(entry)
+            self._lifecycle.queue.park(entry)
             self._reserve(job, now)
             return []
-        self._life.queue.take(entry, now)
+        self._lifecycle.queue.take(entry, now)
         job.entry = None
-        self._life.place(job)
-        job.waiting = set(victims)
+        self._lifecycle.record_allocation(job)
+        job.pending_evictions = set(victims)
         job.stage = "clearing"
-        self._life.clearing[job.job_id] = job
+        self._lifecycle.clearing[job.job_id] = job
         if not victims:
-            return [self._life.start(job, now)]
-        return self._life.evict(job)
+            return [self._lifecycle.decide_start(job, now)]
+        return self._lifecycle.decide_evictions(job)
 
     def _reserve(self, job: Job, now: float) -> None:
-        """Keep workers for a large gang that could borrow but does not fit."""
-        reservations = self._starter.reservations
-        large = job.shape.total_accelerators > self._fleet.tree.worker_size
+        """Reserve workers for a large gang that may borrow but does not fit now."""
+        reservations = self._allocator.reservations
+        large = job.shape.total_accelerators > self._fleet.tree.max_worker_accelerators
         if not large or job.job_id in reservations or reservations.full:
             return
-        if not self._starter.must_be_firm(job):
+        if not self._allocator.requires_protection(job):
             reservations.reserve(job, now)
 
-    def _mark(self, host: str, reason: str, value: bool) -> None:
-        if self._roster.mark(host, reason, value):
-            self._life.freed = True
+    def _set_unusable(self, host: str, reason: str, value: bool) -> None:
+        if self._workers.set_unusable(host, reason, value):
+            self._lifecycle.capacity_freed = True
             self._fleet.set_unusable(host, reason, value)
         if value:
-            self._life.requeue_broken()
+            self._lifecycle.requeue_unusable()
+
+    def _charged_accelerators(self, job: QueuedJob) -> float:
+        """Return the accelerators that a job is charged for.
 
-    def _size(self, job: QueuedJob) -> float:
-        """Return the accelerators a job stands for when it is charged."""
+        A job without accelerators is charged for its part of the pool's cores.
+        """
         if job.shape.accelerators:
             return float(job.shape.total_accelerators)
-        return job.shape.tasks * job.shape.cores * self._per_core
+        return job.shape.tasks * job.shape.cores * self._accelerators_per_core
--- a/libs/scheduling/tests/test_scheduler.py
+++ b/libs/scheduling/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler starts, reclaims, preempts and takes over."""
+"""Tests of the scheduler: starts, reclaim, preemption, reservations and failover."""
 
 from bilberryhitch_model import Evict, Guarantee, Host, Pool, QueuedJob, Shape, Start
 from bilberryhitch_scheduling import PoolScheduler
@@ -39,10 +39,10 @@
     return pool.decide(now)
 
 
-def test_guarantee_is_reclaimed_from_borrowers():
+def test_guaranteed_job_evicts_borrowers_and_starts_after_the_last():
     pool = scheduler(("a", 16, 1))
-    lent = submit(pool, job("b1", "b"), job("b2", "b"))
-    assert [d.borrowed for d in lent] == [True, True]
+    borrowers = submit(pool, job("b1", "b"), job("b2", "b"))
+    assert [d.borrowed for d in borrowers] == [True, True]
     decisions = submit(pool, job("a1", tasks=2))
     assert {d.job_id for d in decisions if isinstance(d, Evict)} == {"b1", "b2"}
     pool.evicted("b1", 1.0)
@@ -54,21 +54,21 @@
     assert pool.explain("b1").state == "queued"
 
 
-def test_firm_job_does_not_start_where_a_guarantee_may_be_needed():
+def test_job_that_may_not_borrow_starts_only_on_spare_capacity():
     pool = scheduler(("a", 8, 1))
-    firm = [job(name, "b", may_borrow=False) for name in ("f1", "f2")]
-    assert len(submit(pool, *firm)) == 1
+    jobs = [job(name, "b", may_borrow=False) for name in ("f1", "f2")]
+    assert len(submit(pool, *jobs)) == 1
     assert pool.explain("f2").rule == "may_not_borrow"
 
 
-def test_firm_job_that_can_never_run_is_refused():
+def test_job_that_can_never_run_is_refused():
     pool = scheduler(("a", 16, 1))
     refused = pool.submit(job("f", "b", may_borrow=False), 0.0)
     assert "spare" in refused.error.rule
     assert pool.submit(job("g", tasks=3), 0.0).is_error()
 
 
-def test_lost_host_raises_a_shortfall_and_stays_bound_while_running():
+def test_lost_host_causes_a_shortfall_only_after_its_job_ended():
     pool = scheduler(("a", 8, 1), ("b", 8, 1))
     submit(pool, job("a1"))
     pool.host_lost(pool.bound_cells()[0].place[0][0])
@@ -80,8 +80,8 @@
 def test_urgent_work_preempts_borrowers_within_its_share_only():
     pool = scheduler()
     submit(pool, job("b1", "b"), job("b2", "b"))
-    flood = [job(f"u{n}", urgency="urgent") for n in range(4)]
-    evicted = [d for d in submit(pool, *flood) if isinstance(d, Evict)]
+    urgent = [job(f"u{n}", urgency="urgent") for n in range(4)]
+    evicted = [d for d in submit(pool, *urgent) if isinstance(d, Evict)]
     assert len(evicted) == 1
 
 
@@ -111,7 +111,7 @@
     assert submit(pool, short, now=100.0) == []
 
 
-def test_tasks_without_accelerators_yield_their_cores():
+def test_borrower_without_accelerators_is_evicted_for_its_cores():
     pool = scheduler(per_rack=1)
     (start,) = submit(pool, job("cpu", "b", tasks=4, accelerators=0, cores=8))
     assert start.placement.members[0].accelerators == ()
@@ -119,15 +119,15 @@
     assert evict == Evict("cpu", "a1")
 
 
-def test_takeover_keeps_the_guarantee_bound():
+def test_adopted_job_keeps_its_guaranteed_cell_bound():
     pool = scheduler(("a", 8, 1))
     (start,) = submit(pool, job("a1"))
-    fresh = scheduler(("a", 8, 1))
-    fresh.adopt(job("a1"), start.placement, start.borrowed, 9.0)
-    assert fresh.bound_cells() == pool.bound_cells()
+    successor = scheduler(("a", 8, 1))
+    successor.adopt(job("a1"), start.placement, start.borrowed, 9.0)
+    assert successor.bound_cells() == pool.bound_cells()
 
 
-def test_full_queue_tells_which_job_was_dropped():
+def test_full_queue_reports_the_dropped_job():
     pool = scheduler(max_queued=2)
     submit(pool, job("r1"), job("r2"))
     submit(pool, job("q1"), job("q2"))
@@ -136,7 +136,7 @@
     assert pool.submit(job("q3"), 0.0).error.limit == 2
 
 
-def test_worker_added_by_a_pool_change_is_used_and_running_jobs_are_kept():
+def test_added_worker_is_used_and_running_jobs_keep_their_cells():
     hosts = workers()
     row = Pool("gpu", "job", hosts=("w0-0",), guarantees=(Guarantee("a", "ruwi", 8),))
     pool = PoolScheduler("ruwi", row, hosts)
--- a/tests/machines/test_point1_reclaim.py
+++ b/tests/machines/test_point1_reclaim.py
@@ -11,11 +11,11 @@
     Shape,
     Start,
 )
-from bilberryhitch_scheduling import PoolScheduler, clearing, starting
-from bilberryhitch_scheduling.adoption import Adoption
+from bilberryhitch_scheduling import PoolScheduler, allocator, clearing
+from bilberryhitch_scheduling.adopted_jobs import AdoptedJobs
+from bilberryhitch_scheduling.allocator import Allocator
 from bilberryhitch_scheduling.fleet import Fleet
-from bilberryhitch_scheduling.guarantees import Guarantees
-from bilberryhitch_scheduling.starting import Starter
+from bilberryhitch_scheduling.guaranteed_cells import GuaranteedCells
 from hypothesis import HealthCheck, Phase, seed, settings
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -403,7 +403,7 @@
 def first_rows_give_up(self, need, short):
     missing = {}
     for key in need.rows:
-        given = min(short, self.unbound(key))
+        given = min(short, self.unbound_count(key))
         short -= given
         if given:
             missing[key] = given
@@ -411,34 +411,46 @@
 
 
 def preempt_anything(fleet, shape, now):
-    left = clearing.clearable_left(fleet, lambda owner: owner.stage != "clearing")
-    for kind in fleet.tree.candidates(shape):
+    left = clearing.count_obtainable(fleet, lambda owner: owner.stage != "clearing")
+    for kind in fleet.tree.candidate_kinds(shape):
         for cell in fleet.tree.by_kind[kind]:
-            members = clearing.fill(fleet, left, cell, shape)
+            members = clearing.place_in_cell(fleet, left, cell, shape)
             if members is not None:
                 yield members
 
 
 WITHOUT = {
     "check of firm work beside guarantees": (
-        Starter,
+        Allocator,
         "keeps_guarantees",
         lambda self, members: True,
     ),
-    "waiting for evictions": (starting, "victims", lambda *args: {}),
+    "waiting for evictions": (allocator, "victims", lambda *args: {}),
     "protection of guaranteed work": (
-        starting,
-        "preempting_places",
+        allocator,
+        "preempting_placements",
         preempt_anything,
     ),
-    "refusal to lend to firm work": (Starter, "must_be_firm", lambda self, job: False),
+    "refusal to lend to firm work": (
+        Allocator,
+        "requires_protection",
+        lambda self, job: False,
+    ),
     "exclusion of lost hosts": (Fleet, "set_unusable", lambda self, *args: None),
-    "table order of the reduction": (Guarantees, "_missing_of", first_rows_give_up),
-    "binding at takeover": (Adoption, "settle", lambda self: []),
-    "end of a shrunk guarantee": (Guarantees, "allowed", lambda *args: 10**6),
-    "size of a guarantee": (Starter, "_within", lambda *args: True),
-    "check of bindings": (Starter, "_holds", lambda self, before: True),
-    "reclaim": (Starter, "_bind", lambda self, job, key, now: None),
+    "table order of the reduction": (
+        GuaranteedCells,
+        "_missing_by_key",
+        first_rows_give_up,
+    ),
+    "binding at takeover": (AdoptedJobs, "bind_cells", lambda self: []),
+    "end of a shrunk guarantee": (
+        GuaranteedCells,
+        "allowed_accelerators",
+        lambda *args: 10**6,
+    ),
+    "size of a guarantee": (Allocator, "_within", lambda *args: True),
+    "check of bindings": (Allocator, "_shortage_not_grown", lambda self, before: True),
+    "reclaim": (Allocator, "_bind_new_cell", lambda self, job, key, now: None),
 }
 
 
