--- a/libs/requests/src/bilberryhitch_requests/waiting.py
+++ b/libs/requests/src/bilberryhitch_requests/waiting.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from bilberryhitch_model import Pool
-from bilberryhitch_scheduling import Entry, FairQueue
+from bilberryhitch_scheduling import FairQueue, QueueEntry
 
 from .places import Place
 from .slots import ExecutorSlots, Lease
@@ -45,7 +45,7 @@
         self.place = place
         self.may_forward = may_forward
         self.target: asyncio.Future[Target] = asyncio.Future()
-        self.entry: Entry[Ticket] | None = None
+        self.entry: QueueEntry[Ticket] | None = None
 
 
 class _Used(NamedTuple):
--- a/libs/scheduling/src/bilberryhitch_scheduling/__init__.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/__init__.py
@@ -2,7 +2,7 @@
 
 from .cells import CellTree, effective_accelerators
 from .explanations import BoundCellRow
-from .fair_groups import Entry
+from .fair_groups import QueueEntry
 from .fair_queue import Dropped, FairQueue
 from .run_time_estimates import RunTimeEstimates
 from .scheduler import PoolScheduler
@@ -11,7 +11,7 @@
     "BoundCellRow",
     "CellTree",
     "Dropped",
-    "Entry",
+    "QueueEntry",
     "RunTimeEstimates",
     "FairQueue",
     "PoolScheduler",
--- a/libs/scheduling/src/bilberryhitch_scheduling/fair_groups.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/fair_groups.py
@@ -10,7 +10,7 @@
 _STALE_HEAP_ROWS = 64  # stale heap rows tolerated before the heap is rebuilt
 
 
-class Entry(Generic[T]):
+class QueueEntry(Generic[T]):
     """A queued item, returned by :meth:`FairQueue.push` and passed back to the queue.
 
     :ivar item: the item that was pushed
@@ -118,10 +118,10 @@
     def __init__(self, group: Group[T], key: tuple[int, Hashable]) -> None:
         self.group = group
         self.key = key
-        self.entries: dict[int, Entry[T]] = {}
+        self.entries: dict[int, QueueEntry[T]] = {}
         self.parked = False
 
-    def head(self) -> Entry[T]:
+    def head(self) -> QueueEntry[T]:
         """Return the oldest entry."""
         return next(iter(self.entries.values()))
 
@@ -131,9 +131,9 @@
     return sorted(group.children.values(), key=lambda g: (-g.queued, g.order))
 
 
-def newest_droppable(caller: Group[T]) -> Entry[T] | None:
+def newest_droppable(caller: Group[T]) -> QueueEntry[T] | None:
     """Return the newest droppable entry of a caller, or ``None``."""
-    newest: Entry[T] | None = None
+    newest: QueueEntry[T] | None = None
     for sub_queue in caller.sub_queues.values():
         for number in reversed(sub_queue.entries):
             entry = sub_queue.entries[number]
--- a/libs/scheduling/src/bilberryhitch_scheduling/fair_queue.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/fair_queue.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Hashable, Iterator
 from typing import Generic, NamedTuple, TypeVar
 
-from .fair_groups import Entry, Group, SubQueue, by_queue_length, newest_droppable
+from .fair_groups import Group, QueueEntry, SubQueue, by_queue_length, newest_droppable
 
 T = TypeVar("T")
 
@@ -85,7 +85,7 @@
         signature: Hashable = None,
         urgent: bool = False,
         droppable: bool = True,
-    ) -> tuple[Entry[T], Dropped[T] | None]:
+    ) -> tuple[QueueEntry[T], Dropped[T] | None]:
         """Queue an item.
 
         :param signature: entries of one caller with equal signatures either all can
@@ -97,7 +97,7 @@
             share, which may be the new entry itself
         """
         self._last_entry_number += 1
-        entry = Entry(item, self._last_entry_number, droppable)
+        entry = QueueEntry(item, self._last_entry_number, droppable)
         caller_group = self._caller_group(client_account, kind, caller)
         key = (0 if urgent else 1, signature)
         sub_queue = caller_group.sub_queues.get(key)
@@ -108,7 +108,7 @@
             return entry, None
         return entry, self._drop()
 
-    def select(self) -> Entry[T] | None:
+    def select(self) -> QueueEntry[T] | None:
         """Return the next entry in fair order that is not parked, or ``None``."""
         group = self._root
         while group.children:
@@ -125,7 +125,7 @@
             return None
         return min(ready, key=lambda found: found[:2])[2].head()
 
-    def take(self, entry: Entry[T], now: float) -> T:
+    def take(self, entry: QueueEntry[T], now: float) -> T:
         """Remove an entry that starts to run, and advance the virtual time.
 
         :param now: loop time in seconds, used for ``retry_after_s``
@@ -146,7 +146,7 @@
         self.remove(entry)
         return entry.item
 
-    def remove(self, entry: Entry[T]) -> None:
+    def remove(self, entry: QueueEntry[T]) -> None:
         """Remove an entry; does nothing if it was removed already."""
         sub_queue = entry.sub_queue
         if sub_queue is None:
@@ -160,7 +160,7 @@
             del sub_queue.group.sub_queues[sub_queue.key]
         self._count_queued(sub_queue.group, -1)
 
-    def park(self, entry: Entry[T]) -> None:
+    def park(self, entry: QueueEntry[T]) -> None:
         """Skip the entry and those equal to it until :meth:`unpark`."""
         sub_queue = entry.sub_queue
         if sub_queue is None or sub_queue.parked:
@@ -215,7 +215,7 @@
             account.weight = self._weight(client_account)
             self._reorder(account)
 
-    def count_ahead(self, entry: Entry[T]) -> int:
+    def count_ahead(self, entry: QueueEntry[T]) -> int:
         """Return the number of earlier entries of the same caller."""
         if entry.sub_queue is None:
             return 0
@@ -226,7 +226,7 @@
             for number in sub_queue.entries
         )
 
-    def entries(self) -> Iterator[Entry[T]]:
+    def entries(self) -> Iterator[QueueEntry[T]]:
         """Yield all entries, in no particular order."""
         for account in self._root.children.values():
             for kind in account.children.values():
@@ -243,7 +243,7 @@
         self._groups_created += 1
         return parent.child(name, self._groups_created)
 
-    def _append(self, sub_queue: SubQueue[T], entry: Entry[T]) -> None:
+    def _append(self, sub_queue: SubQueue[T], entry: QueueEntry[T]) -> None:
         entry.sub_queue = sub_queue
         sub_queue.entries[entry.number] = entry
         self._count_queued(sub_queue.group, 1)
--- a/libs/scheduling/src/bilberryhitch_scheduling/jobs.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/jobs.py
@@ -4,7 +4,7 @@
 
 from bilberryhitch_model import Member, Placement, QueuedJob, Shape
 
-from .fair_groups import Entry
+from .fair_groups import QueueEntry
 from .guaranteed_cells import BoundCell
 
 # Added to the run time in the eviction cost. Without it, a gang that has just
@@ -57,7 +57,7 @@
     def __init__(self, queued: QueuedJob, size: float) -> None:
         self.spec = queued
         self.charged_accelerators = size
-        self.entry: Entry[Job] | None = None
+        self.entry: QueueEntry[Job] | None = None
         self.stage: JobStage = "queued"
         self.protected = False
         self.bound_cell: BoundCell | None = None
--- a/libs/scheduling/src/bilberryhitch_scheduling/scheduler.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/scheduler.py
@@ -16,7 +16,7 @@
 
 from .allocator import Allocator
 from .explanations import BoundCellRow, bound_cell_rows, explain
-from .fair_groups import Entry
+from .fair_groups import QueueEntry
 from .fair_queue import Dropped
 from .feasibility import Feasibility
 from .fleet import Fleet
@@ -271,7 +271,7 @@
             self._lifecycle.shares.count_usage(job, 1)
         self._lifecycle.capacity_freed = True
 
-    def _try_start(self, entry: Entry[Job], now: float) -> list[Decision]:
+    def _try_start(self, entry: QueueEntry[Job], now: float) -> list[Decision]:
         job = entry.item
         account = job.spec.client_account
         may_preempt = job.urgent and self._lifecycle.allows_urgent(
