--- a/libs/jobs/src/bilberryhitch_jobs/table_watcher.py
+++ b/libs/jobs/src/bilberryhitch_jobs/table_watcher.py
@@ -1,4 +1,4 @@
-"""Follows a table: its rows at one moment, then every change in order."""
+"""Watches a table: a snapshot of its rows first, then every change in order."""
 
 import asyncio
 import time
@@ -9,18 +9,20 @@
 from .errors import STORE_ERRORS, HistoryLost
 from .rows import RowSnapshot, Store, StoreRow
 
-# A silent connection is noticed within this and the client's own margin.
-WAIT_S = 1.0
+# A connection without responses is detected after this plus the client's margin.
+WATCH_WAIT_S = 1.0
 READ_TIMEOUT_S = 1.5
-PAUSE_S = 0.1
+RETRY_DELAY_S = 0.1
 
 
 class TableWatcher:
-    """Keeps a reader up to date with a table.
+    """Reports the rows of a table and their changes to two callbacks.
 
+    :param on_snapshot: called with all rows and the revision, at the start and each
+        time the store no longer retains the changes to continue from
+    :param on_change: called with each changed or removed row
     :param partitions: partitions of the table that hold rows
-    :param on_snapshot: receives all rows, first and after a loss of history
-    :param on_row: receives each row that changed or was removed
+    :ivar last_response_at: time of the store's last response on the monotonic clock
     """
 
     def __init__(
@@ -28,57 +30,57 @@
         store: Store,
         table: str,
         on_snapshot: Callable[[tuple[StoreRow, ...], int], None],
-        on_row: Callable[[StoreRow], None],
+        on_change: Callable[[StoreRow], None],
         *,
         partitions: Sequence[str] = ("",),
     ) -> None:
-        self.heard_at = float("-inf")
+        self.last_response_at = float("-inf")
         self._store = store
         self._table = table
         self._on_snapshot = on_snapshot
-        self._on_row = on_row
+        self._on_change = on_change
         self._partitions = partitions
         self._revision: int | None = None
-        self._lost = False
+        self._disconnected = False
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Watch the table until cancelled."""
         while True:
             try:
-                await self.advance()
+                await self.poll()
             except HistoryLost:
                 log(events.STORE_HISTORY_LOST, table=self._table)
                 self._revision = None
             except STORE_ERRORS as error:
-                self._note_loss(error)
-                await asyncio.sleep(PAUSE_S)
+                self._note_failure(error)
+                await asyncio.sleep(RETRY_DELAY_S)
 
-    async def advance(self) -> None:
-        """Read once: the whole table first, afterwards what has changed.
+    async def poll(self) -> None:
+        """Read the whole table on the first call, its changes on later ones.
 
-        :raises HistoryLost: if the changes are no longer kept
+        :raises HistoryLost: if the changes are no longer retained
         """
         if self._revision is None:
             snapshot = await read_partitions(self._store, self._table, self._partitions)
-            self._heard()
+            self._note_response()
             self._revision = snapshot.revision
             self._on_snapshot(snapshot.rows, snapshot.revision)
             return
-        changes = await self._store.watch(self._table, self._revision, WAIT_S)
-        self._heard()
+        changes = await self._store.watch(self._table, self._revision, WATCH_WAIT_S)
+        self._note_response()
         for row in changes.rows:
-            self._on_row(row)
+            self._on_change(row)
         self._revision = max(self._revision, changes.revision)
 
-    def _heard(self) -> None:
-        self.heard_at = time.monotonic()
-        if self._lost:
-            self._lost = False
+    def _note_response(self) -> None:
+        self.last_response_at = time.monotonic()
+        if self._disconnected:
+            self._disconnected = False
             log(events.DEPENDENCY_REGAINED, dependency=f"store table {self._table}")
 
-    def _note_loss(self, error: Exception) -> None:
-        if not self._lost:
-            self._lost = True
+    def _note_failure(self, error: Exception) -> None:
+        if not self._disconnected:
+            self._disconnected = True
             log(
                 events.DEPENDENCY_LOST,
                 dependency=f"store table {self._table}",
@@ -89,10 +91,10 @@
 async def read_partitions(
     store: Store, table: str, partitions: Sequence[str]
 ) -> RowSnapshot:
-    """Return the rows of all partitions.
+    """Return the rows of all partitions and the lowest of their revisions.
 
-    Each partition is read at its own revision; a watch from the lowest of them repeats
-    the changes made in between.
+    Each partition is read at its own revision; a watch from the lowest one repeats the
+    changes made in between.
     """
     snapshots = await asyncio.gather(
         *(
--- a/libs/planner/src/bilberryhitch_planner/lead.py
+++ b/libs/planner/src/bilberryhitch_planner/lead.py
@@ -141,7 +141,7 @@
                     self.planner.add_doubtful(name, now=time.monotonic())
                 # Nobody else writes progress any more: the lease is held.
                 self._inherited = await read_progress(self._store)
-                await self._jobs.advance()
+                await self._jobs.poll()
                 self.journal.take_orphans(self._inherited)
                 self.journal.count_waiting()
                 return
