--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs as graphs of steps: records, durable rows, acceptance."""
+"""Jobs as graphs of steps: records, their storage, submission and cancellation."""
 
 from .configuration import (
     Account,
--- a/libs/jobs/src/bilberryhitch_jobs/configuration.py
+++ b/libs/jobs/src/bilberryhitch_jobs/configuration.py
@@ -4,9 +4,11 @@
 
 
 class AdvicePolicy(NamedTuple):
-    """A queue whose steps need permission for each worker.
+    """Timing of the advice service, which grants the workers for a step.
 
-    :param valid_s: how long a permission holds
+    :param base_latency_s: time to decide, whatever the number of workers
+    :param latency_per_worker_s: added for each worker of a call
+    :param valid_s: period of validity of a grant
     """
 
     base_latency_s: float
@@ -15,14 +17,18 @@
 
 
 class Queue(NamedTuple):
-    """A route by which jobs arrive.
-
-    :param service: pool of workers that runs its tasks
-    :param priority: 0 comes first and may evict others
-    :param max_attempts: failed runs after which a task is given up
-    :param stretch: objective as a multiple of the longest chain of work
-    :param target_s: added to the objective
-    :param public: callers need no key
+    """A queue that jobs are submitted to, found by host name and path prefix.
+
+    The completion time objective of a job is ``stretch`` times the length of its
+    critical path, plus ``target_s``.
+
+    :param service: name of the worker pool that runs the tasks
+    :param priority: 0 is the highest and may preempt others
+    :param max_attempts: failed runs after which a task is not retried
+    :param stretch: factor of the critical path's length in the objective
+    :param target_s: constant part of the objective
+    :param public: callers need no API key
+    :param advice: None if workers need no grant of the advice service
     """
 
     name: str
@@ -39,10 +45,10 @@
 
 
 class Service(NamedTuple):
-    """A pool of workers.
+    """A worker pool.
 
-    :param enforces_capacity: workers refuse what does not fit
-    :param spare: its machines are switched off
+    :param enforces_capacity: workers refuse runs that exceed their capacity
+    :param spare: the machines of the pool are powered off
     """
 
     name: str
@@ -53,7 +59,8 @@
 class Account(NamedTuple):
     """A client account.
 
-    :param guaranteed_gpu: accelerators that its urgent jobs can always have
+    :param keys: API keys
+    :param guaranteed_gpu: number of accelerators guaranteed to its urgent jobs
     """
 
     name: str
@@ -62,7 +69,7 @@
 
 
 class Limits(NamedTuple):
-    """Bounds of callers' requests."""
+    """Limits of callers' HTTP requests and connections."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 262_144
@@ -73,7 +80,9 @@
 class Configuration(NamedTuple):
     """One version of the configuration.
 
-    :param accounts_by_key: account name by API key
+    :param services: worker pools by name
+    :param accounts: client accounts by name
+    :param accounts_by_key: account names by API key
     """
 
     version: int
@@ -84,7 +93,7 @@
     limits: Limits
 
     def find_queue(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of ``path`` on ``host``."""
+        """Return the queue of ``host`` with the longest matching path prefix."""
         matches = [
             queue
             for queue in self.queues
@@ -92,6 +101,6 @@
         ]
         return max(matches, key=lambda queue: len(queue.path_prefix), default=None)
 
-    def queue_named(self, name: str) -> Queue | None:
-        """Return the queue of that name."""
+    def get_queue(self, name: str) -> Queue | None:
+        """Return a queue by name, or None."""
         return next((queue for queue in self.queues if queue.name == name), None)
--- a/libs/jobs/src/bilberryhitch_jobs/errors.py
+++ b/libs/jobs/src/bilberryhitch_jobs/errors.py
@@ -1,4 +1,4 @@
-"""Typed failures of the store and of callers' requests."""
+"""Errors of the table store."""
 
 from bilberryhitch_model.errors import BilberryhitchError
 
@@ -6,10 +6,10 @@
 
 
 class StoreRefused(BilberryhitchError):
-    """The store did nothing: it refused the call or could not be connected to.
+    """The call had no effect: the store refused it or the connection failed.
 
     :ivar call: name of the call
-    :ivar reason: status or transport error
+    :ivar reason: HTTP status or transport error
     """
 
     code = "store_refused"
@@ -21,7 +21,11 @@
 
 
 class StoreUnknown(BilberryhitchError):
-    """A call got no answer; it may take effect now, later or never."""
+    """The outcome of a call is unknown; it may have taken or still take effect.
+
+    :ivar call: name of the call
+    :ivar reason: transport error
+    """
 
     code = "store_unknown"
 
@@ -32,9 +36,9 @@
 
 
 class CommitConflict(BilberryhitchError):
-    """A row of a conditional transaction has another revision; nothing changed.
+    """A row of a conditional transaction has another revision; nothing was written.
 
-    :ivar rows: the present rows among those that were expected
+    :ivar rows: current rows under the expected keys, without the absent ones
     """
 
     code = "commit_conflict"
@@ -45,7 +49,10 @@
 
 
 class HistoryLost(BilberryhitchError):
-    """The store no longer holds the changes that were asked for."""
+    """The store no longer retains the changes that a watch asked for.
+
+    :ivar after: revision after which changes were asked for
+    """
 
     code = "history_lost"
 
@@ -56,9 +63,9 @@
 
 
 class RowUnreadable(BilberryhitchError):
-    """A row holds bytes that its codec cannot read.
+    """The value of a row cannot be decoded.
 
-    :ivar rule: what the row breaks
+    :ivar rule: the rule that the value violates
     """
 
     code = "row_unreadable"
--- a/libs/jobs/src/bilberryhitch_jobs/job_api.py
+++ b/libs/jobs/src/bilberryhitch_jobs/job_api.py
@@ -1,4 +1,4 @@
-"""Answers callers' requests about jobs: who may ask, what is asked, what is so."""
+"""Answers callers' calls: authenticates them, finds the queue, runs the operation."""
 
 import time
 from collections.abc import Callable
@@ -11,21 +11,21 @@
 from .job_operations import JobOperations, OperationResult
 from .records import JobRequest, JobState, Schedule, Step
 
-# Without contact for this long the store is taken to be out of reach: the
-# configuration's feed answers at least once a second.
-STORE_SILENCE_S = 2.0
-# Sooner than that, new callers are sent elsewhere: it costs nobody anything.
-READY_SILENCE_S = 1.3
-# A short disturbance is over within a second, and another host may answer then.
+# The store counts as unreachable after this time without a response: the watch of the
+# configuration gets one at least once a second.
+STORE_UNREACHABLE_AFTER_S = 2.0
+# Readiness ends earlier, as sending new callers to another host costs nothing.
+UNREADY_AFTER_S = 1.3
+# A short outage is over within a second, or another host answers the retry.
 RETRY_AFTER_S = 1
-# An outage that has lasted this long goes on for seconds: callers that give up after
-# a few attempts must not spend them all within it.
-LONG_SILENCE_S = 1.2
-LONG_RETRY_AFTER_S = 2
+# An outage that has lasted this long goes on for seconds. A longer delay keeps callers
+# with few retries from using all of them up during it.
+LONG_OUTAGE_AFTER_S = 1.2
+LONG_OUTAGE_RETRY_AFTER_S = 2
 
 
 class ReplyKind(Enum):
-    """Kinds of answers to callers."""
+    """Kinds of replies to callers."""
 
     ACCEPTED = auto()
     STATE = auto()
@@ -39,11 +39,11 @@
 
 
 class JobReply(NamedTuple):
-    """An answer to a caller.
+    """A reply to a caller.
 
     :param state: for ``STATE``
-    :param waiting: for ``WAITING``: jobs that have not begun
-    :param retry_after_s: for ``NOT_RUN``: when another attempt may succeed
+    :param waiting: for ``WAITING``: number of jobs that have not started
+    :param retry_after_s: for ``NOT_RUN``: delay before the caller's next attempt
     """
 
     kind: ReplyKind
@@ -53,19 +53,19 @@
 
 
 class AdmittedCall(NamedTuple):
-    """A call that may be made.
+    """An authenticated call to a queue.
 
-    :param account: empty for a public queue
-    :param rest: what follows the queue's prefix
+    :param account: account of the caller; empty for a public queue
+    :param subpath: path after the queue's prefix: a job's identifier or empty
     """
 
     queue: Queue
     account: str
-    rest: str
+    subpath: str
 
 
 class JobSubmission(NamedTuple):
-    """What a caller submits."""
+    """Decoded body of a submission."""
 
     spec: str
     steps: tuple[Step, ...]
@@ -73,118 +73,130 @@
 
 
 class JobApi:
-    """One entry host's answers.
+    """Job API of one entry host.
 
-    :param configuration: the configuration in force, or None before the first
-    :param store_heard_at: steady time of the store's last answer
+    Deadlines are times of the monotonic clock in seconds.
+
+    :param configuration: returns the current configuration, or None before the first
+    :param store_last_response_at: returns the time of the store's last response on
+        the monotonic clock
     """
 
     def __init__(
         self,
-        acceptance: JobOperations,
+        operations: JobOperations,
         configuration: Callable[[], Configuration | None],
-        store_heard_at: Callable[[], float],
+        store_last_response_at: Callable[[], float],
     ) -> None:
-        self._acceptance = acceptance
+        self._operations = operations
         self._configuration = configuration
-        self._store_heard_at = store_heard_at
+        self._store_last_response_at = store_last_response_at
 
     @property
     def store_reachable(self) -> bool:
-        """Whether the store has answered lately."""
-        return self._store_silence_s < STORE_SILENCE_S
+        """Whether the store has responded recently."""
+        return self._store_silent_s < STORE_UNREACHABLE_AFTER_S
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
-        known = self._configuration() is not None
-        return known and self._store_silence_s < READY_SILENCE_S
+        """Whether the load balancer should route callers to this host."""
+        configured = self._configuration() is not None
+        return configured and self._store_silent_s < UNREADY_AFTER_S
 
     @property
-    def _store_silence_s(self) -> float:
-        return time.monotonic() - self._store_heard_at()
+    def _store_silent_s(self) -> float:
+        return time.monotonic() - self._store_last_response_at()
 
     def admit(self, host: str, path: str, key: str | None) -> AdmittedCall | JobReply:
-        """Find the queue of a call and the account of its caller."""
+        """Find the queue of a call and authenticate the caller.
+
+        :param host: host name of the request
+        :param key: API key, or None
+        :returns: the call, or the reply that refuses it
+        """
         configuration = self._configuration()
         if configuration is None:
             return self._not_run("no_configuration", path)
         queue = configuration.find_queue(host, path)
         if queue is None:
             return JobReply(ReplyKind.NO_QUEUE)
-        rest = path[len(queue.path_prefix) :]
+        subpath = path[len(queue.path_prefix) :]
         if queue.public:
-            return AdmittedCall(queue, "", rest)
+            return AdmittedCall(queue, "", subpath)
         account = configuration.accounts_by_key.get(key or "")
         if account is None:
             log(
                 events.UNAUTHENTICATED_CALL,
-                request_id=rest,
+                request_id=subpath,
                 queue=queue.name,
                 revision=configuration.version,
             )
             return JobReply(ReplyKind.UNAUTHENTICATED)
-        return AdmittedCall(queue, account, rest)
+        return AdmittedCall(queue, account, subpath)
 
     async def submit(
-        self, call: AdmittedCall, content: JobSubmission, deadline: float
+        self, call: AdmittedCall, submission: JobSubmission, deadline: float
     ) -> JobReply:
         """Accept a job."""
         if not self.store_reachable:
-            return self._not_run("store_unreachable", call.rest)
+            return self._not_run("store_unreachable", call.subpath)
         request = JobRequest(
-            call.rest,
+            call.subpath,
             call.queue,
             call.account,
-            content.spec,
-            content.steps,
+            submission.spec,
+            submission.steps,
             time.time(),
-            content.schedule,
+            submission.schedule,
         )
-        verdict = await self._acceptance.accept(request, deadline)
-        return self._reply(verdict, ReplyKind.ACCEPTED, call.rest)
+        result = await self._operations.accept(request, deadline)
+        return self._to_reply(result, ReplyKind.ACCEPTED, call.subpath)
 
     async def cancel(self, call: AdmittedCall, deadline: float) -> JobReply:
         """Cancel a job."""
         if not self.store_reachable:
-            return self._not_run("store_unreachable", call.rest)
-        verdict = await self._acceptance.cancel(call.rest, call.account, deadline)
-        return self._reply(verdict, ReplyKind.CANCELLED, call.rest)
-
-    async def state(self, call: AdmittedCall, deadline: float) -> JobReply:
-        """Tell a job's state."""
-        verdict, state = await self._acceptance.state(call.rest, call.account, deadline)
-        return self._reply(verdict, ReplyKind.STATE, call.rest)._replace(state=state)
-
-    async def waiting(self, call: AdmittedCall, deadline: float) -> JobReply:
-        """Tell how many jobs of a queue have not begun."""
-        count = await self._acceptance.waiting(call.queue.name, deadline)
+            return self._not_run("store_unreachable", call.subpath)
+        result = await self._operations.cancel(call.subpath, call.account, deadline)
+        return self._to_reply(result, ReplyKind.CANCELLED, call.subpath)
+
+    async def get_state(self, call: AdmittedCall, deadline: float) -> JobReply:
+        """Return a job's state."""
+        result, state = await self._operations.get_state(
+            call.subpath, call.account, deadline
+        )
+        return self._to_reply(result, ReplyKind.STATE, call.subpath)._replace(
+            state=state
+        )
+
+    async def count_waiting(self, call: AdmittedCall, deadline: float) -> JobReply:
+        """Return the number of jobs of a queue that have not started."""
+        count = await self._operations.count_waiting(call.queue.name, deadline)
         if count is None:
             return self._not_run("store_unreachable", call.queue.name)
         return JobReply(ReplyKind.WAITING, waiting=count)
 
-    def _reply(
-        self, verdict: OperationResult, done: ReplyKind, request_id: str
+    def _to_reply(
+        self, result: OperationResult, success: ReplyKind, request_id: str
     ) -> JobReply:
-        if verdict is OperationResult.REFUSED:
+        if result is OperationResult.REFUSED:
             return self._not_run("store_refused", request_id)
-        outcomes = {
-            OperationResult.DONE: done,
+        kinds = {
+            OperationResult.DONE: success,
             OperationResult.ABSENT: ReplyKind.NO_JOB,
             OperationResult.UNKNOWN: ReplyKind.UNKNOWN,
         }
-        return JobReply(outcomes[verdict])
+        return JobReply(kinds[result])
 
     def _not_run(self, reason: str, request_id: str) -> JobReply:
-        silence_s = self._store_silence_s
+        silent_s = self._store_silent_s
         retry_after_s = RETRY_AFTER_S
-        if silence_s > LONG_SILENCE_S:
-            retry_after_s = LONG_RETRY_AFTER_S
+        if silent_s > LONG_OUTAGE_AFTER_S:
+            retry_after_s = LONG_OUTAGE_RETRY_AFTER_S
         log(
             events.CALL_REFUSED,
             request_id=request_id,
             reason=reason,
-            store_silent_s=round(min(silence_s, 1e6), 3),
+            store_silent_s=round(min(silent_s, 1e6), 3),
             retry_after_s=retry_after_s,
         )
         return JobReply(ReplyKind.NOT_RUN, retry_after_s=retry_after_s)
--- a/libs/jobs/src/bilberryhitch_jobs/job_operations.py
+++ b/libs/jobs/src/bilberryhitch_jobs/job_operations.py
@@ -1,8 +1,8 @@
-"""Accepts, cancels and reports jobs through the store alone.
+"""Accepts, cancels and reports jobs; the store holds all of their state.
 
-A job is accepted by the row that holds its request. An answer that the store
-loses is resolved by repeating the same conditional transaction: whichever copy
-takes effect first, the row is there once.
+A job is accepted once the row with its request is stored. If the response of the
+store is lost, the same conditional transaction is repeated; whichever attempt takes
+effect first, the row is written once.
 """
 
 import asyncio
@@ -28,32 +28,34 @@
 PROGRESS_TABLE = "progress"
 SUMMARY_TABLE = "summary"
 WAITING_KEY = "waiting"
-# A cancelled job keeps its request; the mark lies beside it.
+# A cancellation is a row of its own beside the request, under "JOB.c".
 CANCEL_SUFFIX = ".c"
-# First key after every key that begins with "JOB.".
-RANGE_END = "/"
-# The store applies the changes of a part one after another. Jobs are spread over these
-# parts by their last digit, so that a slow store takes many at a time.
+# "/" follows "." in the order of keys, so this bounds the range of "JOB" and "JOB.c".
+PREFIX_END = "/"
+# The store serialises the transactions of a partition. Jobs are partitioned by their
+# last digit, so that a slow store still applies several transactions at a time.
 JOB_PARTITIONS = tuple("0123456789abcdef")
 
-# One lost answer must leave time for a second try within a caller's 3 s.
+# Allows a second attempt after a lost response within the caller's timeout of 3 s.
 CALL_TIMEOUT_S = 0.9
 READ_TIMEOUT_S = 0.6
-RETRY_PAUSE_S = 0.05
-# Below this the store's answer would come after the caller has left.
-MIN_CALL_S = 0.02
+RETRY_DELAY_S = 0.05
+# With less time left the response would arrive after the caller's deadline.
+MIN_CALL_TIMEOUT_S = 0.02
 
 
 def job_partition(job: str) -> str:
-    """Return the part that holds a job's request and its cancellation."""
+    """Return the partition that holds a job's request and its cancellation."""
     return job[-1:].lower()
 
 
 class OperationResult(Enum):
-    """How an attempt to change a job ended.
+    """Result of an operation on a job.
 
+    ``DONE``: the operation took effect, now or earlier.
+    ``ABSENT``: there is no such job that the caller may read.
     ``REFUSED``: nothing was stored and nothing will be.
-    ``UNKNOWN``: the store may have taken it.
+    ``UNKNOWN``: the store may have applied the operation.
     """
 
     DONE = auto()
@@ -63,9 +65,11 @@
 
 
 class JobOperations:
-    """Callers' operations on jobs, on any entry host.
+    """Operations on jobs on behalf of callers; any entry host may run them.
 
-    :param now: steady clock in seconds
+    Deadlines are times of the monotonic clock in seconds.
+
+    :param now: monotonic clock in seconds
     """
 
     def __init__(self, store: Store, now: Callable[[], float] = time.monotonic) -> None:
@@ -75,14 +79,14 @@
     async def accept(self, request: JobRequest, deadline: float) -> OperationResult:
         """Store a job unless its identifier is taken.
 
-        :param deadline: steady time at which the caller gives up
-        :returns: ``DONE`` also for a job that is already there
+        :param deadline: time at which the caller stops waiting
+        :returns: ``DONE`` also if a job of that identifier is already stored
         """
         job = request.job
         write = RowWrite(JOBS_TABLE, job, encode_request(request))
 
         async def attempt(timeout_s: float) -> OperationResult:
-            # A conflict means that the job is there already.
+            # A conflict means that the job is already stored.
             with suppress(CommitConflict):
                 await self._store.commit(
                     (ExpectedRevision(JOBS_TABLE, job, 0),),
@@ -92,24 +96,25 @@
                 )
             return OperationResult.DONE
 
-        verdict = await self._retry(attempt, deadline, CALL_TIMEOUT_S, job)
+        result = await self._retry(attempt, deadline, CALL_TIMEOUT_S, job)
         log(
             events.JOB_SUBMITTED,
             request_id=job,
             queue=request.queue.name,
             client_account=request.account,
-            outcome=verdict.name.lower(),
+            outcome=result.name.lower(),
         )
-        return verdict
+        return result
 
     async def cancel(self, job: str, account: str, deadline: float) -> OperationResult:
-        """Mark a job as cancelled; the planner stops its tasks.
+        """Record the cancellation of a job; the planner stops its tasks.
 
-        :param account: the caller's account; empty for a public queue
+        :param account: account of the caller; empty for a public queue
+        :returns: ``DONE`` also for a finished job, which is left unchanged
         """
 
         async def attempt(timeout_s: float) -> OperationResult:
-            state = await self._view(job, account, timeout_s)
+            state = await self._read_state(job, account, timeout_s)
             if state is None:
                 return OperationResult.ABSENT
             if state not in FINISHED_STATES:
@@ -119,68 +124,82 @@
                 )
             return OperationResult.DONE
 
-        verdict = await self._retry(attempt, deadline, CALL_TIMEOUT_S, job)
-        log(events.JOB_CANCEL_ASKED, request_id=job, outcome=verdict.name.lower())
-        return verdict
+        result = await self._retry(attempt, deadline, CALL_TIMEOUT_S, job)
+        log(events.JOB_CANCEL_ASKED, request_id=job, outcome=result.name.lower())
+        return result
 
-    async def state(
+    async def get_state(
         self, job: str, account: str, deadline: float
     ) -> tuple[OperationResult, JobState | None]:
-        """Read a job's state from its rows."""
+        """Return a job's state, read from its rows.
+
+        :returns: the result, which is never ``UNKNOWN``, and the state if it is
+            ``DONE``
+        """
         state: JobState | None = None
 
         async def attempt(timeout_s: float) -> OperationResult:
             nonlocal state
-            state = await self._view(job, account, timeout_s)
+            state = await self._read_state(job, account, timeout_s)
             return OperationResult.ABSENT if state is None else OperationResult.DONE
 
-        verdict = await self._retry(attempt, deadline, READ_TIMEOUT_S, job)
+        result = await self._retry(attempt, deadline, READ_TIMEOUT_S, job)
         return (
-            OperationResult.REFUSED if verdict is OperationResult.UNKNOWN else verdict
+            OperationResult.REFUSED if result is OperationResult.UNKNOWN else result
         ), state
 
-    async def waiting(self, queue: str, deadline: float) -> int | None:
-        """Return how many jobs of a queue have not begun, or None if unknown."""
-        found: dict[str, int] = {}
+    async def count_waiting(self, queue: str, deadline: float) -> int | None:
+        """Return the number of jobs of a queue that have not started.
+
+        :returns: None if the store did not answer
+        """
+        counts: dict[str, int] = {}
 
         async def attempt(timeout_s: float) -> OperationResult:
-            nonlocal found
+            nonlocal counts
             snapshot = await self._store.read(
-                SUMMARY_TABLE, WAITING_KEY, WAITING_KEY + RANGE_END, timeout_s=timeout_s
+                SUMMARY_TABLE,
+                WAITING_KEY,
+                WAITING_KEY + PREFIX_END,
+                timeout_s=timeout_s,
             )
             if snapshot.rows:
-                found = msgspec.json.decode(snapshot.rows[0].value, type=dict[str, int])
+                counts = msgspec.json.decode(
+                    snapshot.rows[0].value, type=dict[str, int]
+                )
             return OperationResult.DONE
 
-        verdict = await self._retry(attempt, deadline, READ_TIMEOUT_S, queue)
-        return found.get(queue, 0) if verdict is OperationResult.DONE else None
+        result = await self._retry(attempt, deadline, READ_TIMEOUT_S, queue)
+        return counts.get(queue, 0) if result is OperationResult.DONE else None
 
-    async def _view(self, job: str, account: str, timeout_s: float) -> JobState | None:
-        """Return the state, or None for a job that the account may not see."""
-        progress = await self._progress(job, timeout_s)
+    async def _read_state(
+        self, job: str, account: str, timeout_s: float
+    ) -> JobState | None:
+        """Return the state, or None if the account may not read the job."""
+        progress = await self._read_progress(job, timeout_s)
         if progress is not None and progress.state in FINISHED_STATES:
-            visible = _may_see(account, progress.account)
-            return progress.state if visible else None
+            readable = _may_read(account, progress.account)
+            return progress.state if readable else None
         snapshot = await self._store.read(
             JOBS_TABLE,
             job,
-            job + RANGE_END,
+            job + PREFIX_END,
             partition=job_partition(job),
             timeout_s=timeout_s,
         )
         rows = {row.key: row.value for row in snapshot.rows}
         if job not in rows:
             return None
-        if not _may_see(account, decode_request(job, rows[job]).account):
+        if not _may_read(account, decode_request(job, rows[job]).account):
             return None
         if job + CANCEL_SUFFIX in rows:
             return JobState.CANCELLED
-        # The planner writes a job's progress when its first task is started.
+        # The planner writes the progress row when the first task of a job is started.
         return progress.state if progress is not None else JobState.PENDING
 
-    async def _progress(self, job: str, timeout_s: float) -> JobProgress | None:
+    async def _read_progress(self, job: str, timeout_s: float) -> JobProgress | None:
         snapshot = await self._store.read(
-            PROGRESS_TABLE, job, job + RANGE_END, timeout_s=timeout_s
+            PROGRESS_TABLE, job, job + PREFIX_END, timeout_s=timeout_s
         )
         if not snapshot.rows:
             return None
@@ -193,28 +212,33 @@
         timeout_s: float,
         request_id: str,
     ) -> OperationResult:
-        """Repeat an idempotent attempt until it is certain or time is up.
+        """Repeat an idempotent attempt until its result is certain or the deadline.
+
+        A refusal ends the retries unless an earlier attempt may have taken effect.
 
-        A refusal ends the attempts unless an earlier one may have taken effect.
+        :param timeout_s: limit of each attempt
         """
-        worst = OperationResult.REFUSED
-        while (left := deadline - self._now()) > MIN_CALL_S:
+        result = OperationResult.REFUSED
+        while (remaining_s := deadline - self._now()) > MIN_CALL_TIMEOUT_S:
             try:
-                return await attempt(min(timeout_s, left))
+                return await attempt(min(timeout_s, remaining_s))
             except StoreRefused as error:
                 _log_store_error(request_id, error)
-                if worst is OperationResult.REFUSED:
+                if result is OperationResult.REFUSED:
                     return OperationResult.REFUSED
             except StoreUnknown as error:
                 _log_store_error(request_id, error)
-                worst = OperationResult.UNKNOWN
-            await asyncio.sleep(RETRY_PAUSE_S)
-        return worst
+                result = OperationResult.UNKNOWN
+            await asyncio.sleep(RETRY_DELAY_S)
+        return result
 
 
-def _may_see(asking: str, owner: str) -> bool:
-    """Return whether an account may see a job; public routes have none."""
-    return not asking or owner in ("", asking)
+def _may_read(account: str, owner: str) -> bool:
+    """Return whether an account may read a job of ``owner``.
+
+    Either account is empty if the queue is public; such callers may read any job.
+    """
+    return not account or owner in ("", account)
 
 
 def _log_store_error(request_id: str, error: StoreRefused | StoreUnknown) -> None:
--- a/libs/jobs/src/bilberryhitch_jobs/progress.py
+++ b/libs/jobs/src/bilberryhitch_jobs/progress.py
@@ -1,4 +1,4 @@
-"""What must outlive the planner about a job, and how it is stored."""
+"""Durable progress of a job, and the encoding of its rows."""
 
 from typing import NamedTuple
 
@@ -8,16 +8,16 @@
 from .errors import RowUnreadable
 from .records import JobRequest, JobState, Schedule, Step
 
-# Index under which the record of a whole gang is kept.
+# Index of the unit that stands for a whole gang.
 GANG_INDEX = -1
 
 
 class UnitProgress(NamedTuple):
-    """Progress of a gang or a single task.
+    """Progress of a scheduling unit: a gang or a single task.
 
-    :param done: a run of it has ended successfully
+    :param done: a run has completed successfully
     :param last_run: highest run number used so far
-    :param failed_runs: run numbers that ended in failure; a number is counted once
+    :param failed_runs: numbers of the failed runs, without duplicates
     :param checkpoint: last checkpoint; empty for none
     """
 
@@ -30,9 +30,9 @@
 class JobProgress(NamedTuple):
     """Progress of a job.
 
-    :param account: client account that may see the job; empty for any
-    :param units: by occurrence, step and index; untouched units are left out
-    :param finished_s: Unix time of the end, 0 before it
+    :param account: client account that may read the job; empty for any
+    :param units: by occurrence, step and index; units without a run are left out
+    :param finished_s: Unix time in seconds of the end; 0 for an unfinished job
     """
 
     state: JobState
@@ -45,7 +45,7 @@
     state: JobState
     account: str
     finished_s: float
-    # Occurrence, step, index, done, last run, failed runs, checkpoint.
+    # (occurrence, step, index, done, last_run, failed_runs, checkpoint)
     units: list[tuple[int, int, int, bool, int, list[int], str]]
 
 
@@ -65,7 +65,7 @@
 
 
 def encode_progress(progress: JobProgress) -> bytes:
-    """Return the row's value; a finished job keeps its state only."""
+    """Return the value of a progress row; units of a finished job are left out."""
     units = [] if progress.finished_s else sorted(progress.units.items())
     return _encode(
         _ProgressRow(
@@ -87,9 +87,10 @@
 
 
 def decode_progress(key: str, value: bytes) -> JobProgress:
-    """Read a progress row.
+    """Decode the value of a progress row.
 
-    :raises RowUnreadable: if the value is not one
+    :param key: key of the row, for the error
+    :raises RowUnreadable: if the value cannot be decoded
     """
     try:
         row = _progress_decoder.decode(value)
@@ -99,15 +100,25 @@
         row.state,
         row.account,
         {
-            (occurrence, step, index): UnitProgress(done, last, tuple(failed), saved)
-            for occurrence, step, index, done, last, failed, saved in row.units
+            (occurrence, step, index): UnitProgress(
+                done, last_run, tuple(failed_runs), checkpoint
+            )
+            for (
+                occurrence,
+                step,
+                index,
+                done,
+                last_run,
+                failed_runs,
+                checkpoint,
+            ) in row.units
         },
         row.finished_s,
     )
 
 
 def encode_request(request: JobRequest) -> bytes:
-    """Return the value of the row that makes a job accepted."""
+    """Return the value of a job's row; the job is accepted once the row is stored."""
     return _encode(
         _RequestRow(
             request.job,
@@ -122,9 +133,10 @@
 
 
 def decode_request(key: str, value: bytes) -> JobRequest:
-    """Read an accepted job.
+    """Decode the value of a job's row.
 
-    :raises RowUnreadable: if the value is not one
+    :param key: key of the row, for the error
+    :raises RowUnreadable: if the value cannot be decoded
     """
     try:
         row = _request_decoder.decode(value)
--- a/libs/jobs/src/bilberryhitch_jobs/records.py
+++ b/libs/jobs/src/bilberryhitch_jobs/records.py
@@ -1,4 +1,4 @@
-"""Jobs as callers ask for them, and the names of their tasks."""
+"""Records of submitted jobs, their steps and schedules, and task identifiers."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class JobState(StrEnum):
-    """What a caller is told of an accepted job."""
+    """State of an accepted job as reported to callers."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -20,11 +20,11 @@
 
 
 class Resources(NamedTuple):
-    """Capacity of a worker, or what one task takes of it.
+    """Capacity of a worker, or the resource demand of one task.
 
-    :param cpu: thousandths of a core
-    :param memory: megabytes
-    :param gpu: whole accelerators
+    :param cpu: in thousandths of a core
+    :param memory: in megabytes
+    :param gpu: number of accelerators
     """
 
     cpu: int = 0
@@ -32,42 +32,44 @@
     gpu: int = 0
 
     def fits(self, free: "Resources") -> bool:
-        """Return whether this much is free."""
+        """Return whether ``free`` covers each resource."""
         return (
             self.cpu <= free.cpu and self.memory <= free.memory and self.gpu <= free.gpu
         )
 
     def plus(self, other: "Resources") -> "Resources":
-        """Return the sum."""
+        """Return the sum per resource."""
         return Resources(
             self.cpu + other.cpu, self.memory + other.memory, self.gpu + other.gpu
         )
 
     def minus(self, other: "Resources") -> "Resources":
-        """Return the difference."""
+        """Return the difference per resource; may be negative."""
         return Resources(
             self.cpu - other.cpu, self.memory - other.memory, self.gpu - other.gpu
         )
 
 
 class Step(NamedTuple):
-    """Equal tasks of a job.
-
-    :param demand: what each task takes of its worker
-    :param estimate_s: rough duration of a task
-    :param depends_on: indexes of the steps that must be done first
-    :param gang: the tasks run together or not at all
-    :param same_rack: the tasks are slower on more than one rack
-    :param required_label: label of every worker that may run a task; may be empty
-    :param data_rack: rack on which the tasks are not slowed down; may be empty
-    :param max_tasks_per_worker: per occurrence; 0 for no limit
+    """A group of identical tasks of a job.
+
+    :param demand: resources that each task needs on its worker
+    :param estimate_s: estimated run time of a task
+    :param depends_on: indexes of the steps that must be completed first
+    :param gang: all tasks run at the same time or none does
+    :param same_rack: the tasks run slower if they are placed on more than one rack
+    :param required_label: label that a worker needs to run a task; empty for none
+    :param data_rack: rack on which the tasks run at full speed, as it holds their
+        data; empty for none
+    :param max_tasks_per_worker: limit per occurrence; 0 for no limit
     :param saves_progress: a stopped task resumes from its last checkpoint
-    :param speculative: a task may run twice at a time
-    :param long_running: tasks run until the job is cancelled
-    :param max_unavailable: tasks of a lasting step that may be stopped at a time
-    :param image: tasks of the same image behave alike
-    :param latency_target_s: latency bound of a lasting task's own users; 0 for none
-    :param uses_idle_cpu: tasks take the processor time that others leave
+    :param speculative: two runs of a task may be active at the same time
+    :param long_running: the tasks run until the job is cancelled
+    :param max_unavailable: tasks of a long-running step that may be down at a time
+    :param image: image of the tasks; tasks of one image behave alike
+    :param latency_target_s: upper bound of the response time that a long-running
+        task gives to its clients; 0 for none
+    :param uses_idle_cpu: the tasks reserve no processor time and use what is idle
     """
 
     task_count: int
@@ -89,16 +91,16 @@
 
     @property
     def reserved_resources(self) -> Resources:
-        """What a task takes of its worker's capacity."""
+        """Resources that a task reserves on its worker."""
         return self.demand._replace(cpu=0) if self.uses_idle_cpu else self.demand
 
 
 class Schedule(NamedTuple):
-    """Times at which a job's steps run.
+    """Schedule of a job whose steps run several times.
 
     :param repeat_count: number of occurrences
-    :param start_s: due time of the first one, in seconds of Unix time
-    :param interval_s: time between two of them
+    :param start_s: Unix time in seconds at which the first occurrence is due
+    :param interval_s: time between the starts of two occurrences
     """
 
     repeat_count: int
@@ -109,12 +111,12 @@
 class JobRequest(NamedTuple):
     """An accepted job.
 
-    :param job: the caller's identifier
-    :param queue: the route that it came by, as configured then
-    :param account: client account, or empty for a public route
-    :param spec: opaque text that each task is started with
-    :param accepted_s: Unix time at which an entry host took it
-    :param schedule: None for a job that runs once, at once
+    :param job: identifier chosen by the caller
+    :param queue: queue it was submitted to, as configured at that time
+    :param account: client account, or empty for a public queue
+    :param spec: opaque text that is passed to each task
+    :param accepted_s: Unix time in seconds at which an entry host received it
+    :param schedule: None for a job that runs once and immediately
     """
 
     job: str
@@ -131,14 +133,22 @@
         return self.schedule.repeat_count if self.schedule else 1
 
     def due_s(self, occurrence: int) -> float:
-        """Return the Unix time before which an occurrence must not start."""
+        """Return the Unix time in seconds before which an occurrence must not start.
+
+        It is 0 for a job without a schedule.
+        """
         if self.schedule is None:
             return 0.0
         return self.schedule.start_s + occurrence * self.schedule.interval_s
 
 
 class TaskName(NamedTuple):
-    """A task of an occurrence of a step; ``ordinal`` counts from 0 within it."""
+    """Identifies a task.
+
+    :param occurrence: index of the occurrence of the job's schedule
+    :param step: index of the step in the job
+    :param ordinal: index of the task in the occurrence of the step
+    """
 
     job: str
     occurrence: int
--- a/libs/jobs/src/bilberryhitch_jobs/rows.py
+++ b/libs/jobs/src/bilberryhitch_jobs/rows.py
@@ -1,14 +1,14 @@
-"""Rows of a transactional table store and the calls that the product needs."""
+"""Rows of a transactional table store, and the interface of the store."""
 
 from collections.abc import Sequence
 from typing import NamedTuple, Protocol
 
 
 class StoreRow(NamedTuple):
-    """A row as the store returned it.
+    """A row as read from the store.
 
-    :param value: empty if the row was removed
-    :param revision: version of the store at the row's last change; 0 if absent
+    :param value: empty for a removed row
+    :param revision: revision of the store at the row's last change; 0 if absent
     """
 
     table: str
@@ -19,9 +19,9 @@
 
 
 class RowSnapshot(NamedTuple):
-    """Rows of one moment.
+    """Rows as of one revision of the store.
 
-    :param revision: version of the store at that moment, from which to watch
+    :param revision: the revision, from which a watch continues
     """
 
     rows: tuple[StoreRow, ...]
@@ -29,7 +29,7 @@
 
 
 class ExpectedRevision(NamedTuple):
-    """A row's revision that a transaction depends on; 0 means absent."""
+    """Precondition of a transaction: the revision of a row, or 0 if it is absent."""
 
     table: str
     key: str
@@ -52,7 +52,7 @@
 
 
 class Store(Protocol):
-    """Calls to the store; each raises a class of ``STORE_ERRORS`` on failure."""
+    """Interface of the store; each call raises one of ``STORE_ERRORS`` on failure."""
 
     async def read(
         self,
@@ -63,12 +63,18 @@
         partition: str = "",
         timeout_s: float,
     ) -> RowSnapshot:
-        """Return a part's rows with ``first`` <= key < ``last`` in order of keys."""
+        """Return the rows of a partition with ``first`` <= key < ``last`` by key.
+
+        An empty ``first`` or ``last`` is no bound.
+        """
 
     async def watch(self, table: str, after: int, wait_s: float) -> RowSnapshot:
-        """Return rows changed since ``after`` in any part; wait ``wait_s`` for one.
+        """Return the rows of all partitions that changed since a revision.
+
+        Without a change it waits for one for up to ``wait_s``.
 
-        :raises HistoryLost: if the changes are no longer kept
+        :param after: revision after which changes are returned
+        :raises HistoryLost: if the changes are no longer retained
         """
 
     async def commit(
@@ -80,7 +86,8 @@
         partition: str = "",
         timeout_s: float,
     ) -> int:
-        """Apply all changes to one part or none; return the store's new version.
+        """Apply all changes to one partition atomically.
 
-        :raises CommitConflict: if a row has not the expected revision
+        :returns: the new revision of the store
+        :raises CommitConflict: if a row does not have the expected revision
         """
--- a/libs/jobs/tests/test_job_api.py
+++ b/libs/jobs/tests/test_job_api.py
@@ -1,4 +1,4 @@
-"""Callers' answers while the store is well, silent, refusing or losing answers."""
+"""Replies of the job API if the store works, is silent, refuses or loses responses."""
 
 import asyncio
 import time
@@ -30,7 +30,7 @@
 from bilberryhitch_testing import run_virtual
 
 JOB = "0" * 16
-CONTENT = JobSubmission("spec", (Step(1, Resources(1), 1.0),), None)
+SUBMISSION = JobSubmission("spec", (Step(1, Resources(1), 1.0),), None)
 
 
 def queue(public=False):
@@ -45,80 +45,88 @@
 
 
 class Store:
-    """Rows in memory whose next calls fail as listed."""
+    """In-memory store whose next calls fail as listed.
+
+    ``refused``: the call has no effect. ``lost``: a commit takes effect and its
+    response is lost. ``lost_undone``: a commit has no effect and its response is lost.
+    """
 
     def __init__(self, *failures):
         self.rows = {}
         self.failures = list(failures)
         self.calls = 0
 
-    def _fail(self, *, done):
+    def _inject_failure(self, *, applied):
         self.calls += 1
         if not self.failures:
             return
         failure = self.failures.pop(0)
         if failure == "refused":
             raise StoreRefused("call", "503")
-        if failure == "lost" or not done:
+        if failure == "lost" or not applied:
             raise StoreUnknown("call", failure)
 
     def put(self, table, key, value, partition=""):
         self.rows[table, partition, key] = StoreRow(table, key, value, 1)
 
     async def read(self, table, first="", last="", *, partition="", timeout_s):
-        self._fail(done=False)
+        self._inject_failure(applied=False)
         rows = [
             row
-            for (held, where, key), row in sorted(self.rows.items())
-            if first <= key < last and (held, where) == (table, partition)
+            for (row_table, row_partition, key), row in sorted(self.rows.items())
+            if first <= key < last and (row_table, row_partition) == (table, partition)
         ]
         return RowSnapshot(tuple(rows), 1)
 
     async def commit(self, expected, writes, removals=(), *, partition="", timeout_s):
-        failing = self.failures[:1]
-        if failing not in (["refused"], ["lost_undone"]):
+        next_failure = self.failures[:1]
+        if next_failure not in (["refused"], ["lost_undone"]):
             present = [
                 (each.table, partition, each.key) in self.rows for each in expected
             ]
             if any(present):
-                self._fail(done=True)
+                self._inject_failure(applied=True)
                 raise CommitConflict(())
             for each in writes:
                 self.put(each.table, each.key, each.value, partition)
-        if failing == ["lost_undone"]:
+        if next_failure == ["lost_undone"]:
             self.failures.pop(0)
             raise StoreUnknown("call", "lost")
-        self._fail(done=True)
+        self._inject_failure(applied=True)
         return 1
 
 
-def job_api(store, *, heard=0.0, config=True, public=False):
+def job_api(store, *, silent_s=0.0, configured=True, public=False):
     return JobApi(
         JobOperations(store),
-        lambda: configuration(public) if config else None,
-        lambda: time.monotonic() - heard,
+        lambda: configuration(public) if configured else None,
+        lambda: time.monotonic() - silent_s,
     )
 
 
-def submit(store, **terms):
+def submit(store, **options):
     async def run():
-        api = job_api(store, **terms)
+        api = job_api(store, **options)
         call = api.admit("h", "/q/" + JOB, "k")
         if isinstance(call, JobReply):
             return call
-        return await api.submit(call, CONTENT, time.monotonic() + 0.5)
+        return await api.submit(call, SUBMISSION, time.monotonic() + 0.5)
 
     return asyncio.run(run())
 
 
-def test_an_accepted_job_is_stored_whole():
+def test_submit_stores_the_whole_job():
     store = Store()
     assert submit(store).kind is ReplyKind.ACCEPTED
     stored = decode_request(JOB, store.rows["jobs", "0", JOB].value)
-    assert (stored.account, stored.spec, stored.steps) == ("a", "spec", CONTENT.steps)
+    assert (stored.account, stored.spec, stored.steps) == (
+        "a",
+        "spec",
+        SUBMISSION.steps,
+    )
 
 
-def test_the_same_identifier_is_one_job():
+def test_a_repeated_submit_does_not_change_the_stored_job():
     store = Store()
     assert submit(store).kind is ReplyKind.ACCEPTED
     first = dict(store.rows)
@@ -126,16 +134,19 @@
     assert store.rows == first
 
 
-def test_a_lost_answer_is_never_called_a_refusal():
-    """Guards against REFUSED: the store had taken the job."""
+def test_a_refusal_after_a_lost_response_is_not_reported_as_not_run():
+    """Guards against NOT_RUN for a stored job: its commit took effect, the response was
+    lost and the retries were refused.
+    """
     store = Store("lost", "refused", "refused")
     assert submit(store).kind in (ReplyKind.ACCEPTED, ReplyKind.UNKNOWN)
     assert ("jobs", "0", JOB) in store.rows
 
 
-def test_a_slow_store_takes_jobs_of_all_parts_at_a_time():
-    """Load: a burst while the store is fifty times as slow. With all jobs in one part
-    they queued behind each other and behind the planner, and most were refused.
+def test_a_slow_store_commits_to_all_partitions_concurrently():
+    """Guards against refusals under a burst while the store is fifty times as slow.
+    With all jobs in one partition they queued behind each other and the planner, and
+    most were refused.
     """
     transaction_s = 0.16
 
@@ -153,30 +164,30 @@
                 expected, writes, removals, partition=partition, timeout_s=timeout_s
             )
 
-    async def scene():
+    async def run():
         store = SlowStore()
         loop = asyncio.get_running_loop()
-        acceptance = JobOperations(store, loop.time)
+        operations = JobOperations(store, loop.time)
         requests = [
-            JobRequest(f"{number:016x}", queue(), "a", "s", CONTENT.steps, 0.0)
+            JobRequest(f"{number:016x}", queue(), "a", "s", SUBMISSION.steps, 0.0)
             for number in range(48)
         ]
-        verdicts = await asyncio.gather(
-            *(acceptance.accept(request, loop.time() + 0.9) for request in requests)
+        results = await asyncio.gather(
+            *(operations.accept(request, loop.time() + 0.9) for request in requests)
         )
-        assert set(verdicts) == {OperationResult.DONE}
+        assert set(results) == {OperationResult.DONE}
         assert loop.time() < 4 * transaction_s
 
-    run_virtual(scene())
+    run_virtual(run())
 
 
-def test_an_unanswered_try_is_repeated_until_it_is_certain():
+def test_an_attempt_without_response_is_retried():
     store = Store("lost_undone")
     assert submit(store).kind is ReplyKind.ACCEPTED
     assert store.calls >= 1
 
 
-def test_a_certain_refusal_is_told_at_once_with_a_time_to_return():
+def test_a_refusal_is_reported_without_retries_and_with_a_retry_delay():
     store = Store("refused")
     reply = submit(store)
     assert reply.kind is ReplyKind.NOT_RUN
@@ -185,27 +196,29 @@
     assert store.calls == 1
 
 
-def test_a_long_outage_refuses_without_a_call_and_asks_for_a_longer_pause():
-    """Load: callers with four retries spent them all within an outage of 5 s."""
+def test_a_long_outage_refuses_without_a_store_call_and_with_a_longer_retry_delay():
+    """Guards against callers with four retries using all of them up in a 5 s outage."""
     store = Store()
-    reply = submit(store, heard=5.0)
+    reply = submit(store, silent_s=5.0)
     assert reply.kind is ReplyKind.NOT_RUN
     assert reply.retry_after_s == 2
     assert store.calls == 0
 
 
-@pytest.mark.parametrize(("heard", "ready"), [(0.0, True), (1.5, False), (60.0, False)])
-def test_a_host_without_the_store_sends_new_callers_elsewhere(heard, ready):
-    assert job_api(Store(), heard=heard).ready is ready
+@pytest.mark.parametrize(
+    ("silent_s", "ready"), [(0.0, True), (1.5, False), (60.0, False)]
+)
+def test_a_host_without_store_responses_is_not_ready(silent_s, ready):
+    assert job_api(Store(), silent_s=silent_s).ready is ready
 
 
 def test_a_host_without_a_configuration_refuses_and_is_not_ready():
-    api = job_api(Store(), config=False)
+    api = job_api(Store(), configured=False)
     assert not api.ready
     assert api.admit("h", "/q/" + JOB, "k").kind is ReplyKind.NOT_RUN
 
 
-def test_unknown_queues_and_keys_are_told_apart():
+def test_unknown_queues_and_invalid_keys_get_different_replies():
     api = job_api(Store())
     assert api.admit("h", "/other/", "k").kind is ReplyKind.NO_QUEUE
     assert api.admit("h", "/q/", "wrong").kind is ReplyKind.UNAUTHENTICATED
@@ -213,7 +226,7 @@
     assert job_api(Store(), public=True).admit("h", "/q/", None).account == ""
 
 
-def ask(store, key, method="state"):
+def call_api(store, key, method="get_state"):
     async def run():
         api = job_api(store)
         call = api.admit("h", "/q/" + JOB, key)
@@ -222,20 +235,20 @@
     return asyncio.run(run())
 
 
-def test_a_job_is_shown_to_its_own_account_only():
-    """A rival must not learn of another's job."""
+def test_a_job_is_visible_to_its_own_account_only():
+    """Guards against one client account reading or cancelling a job of another."""
     store = Store()
     submit(store)
-    assert ask(store, "k").state is JobState.PENDING
-    assert ask(store, "other").kind is ReplyKind.NO_JOB
-    assert ask(store, "other", "cancel").kind is ReplyKind.NO_JOB
+    assert call_api(store, "k").state is JobState.PENDING
+    assert call_api(store, "other").kind is ReplyKind.NO_JOB
+    assert call_api(store, "other", "cancel").kind is ReplyKind.NO_JOB
 
 
-def test_a_cancelled_job_is_shown_so_unless_it_had_ended():
+def test_cancelling_changes_the_state_of_unfinished_jobs_only():
     store = Store()
     submit(store)
-    assert ask(store, "k", "cancel").kind is ReplyKind.CANCELLED
-    assert ask(store, "k").state is JobState.CANCELLED
+    assert call_api(store, "k", "cancel").kind is ReplyKind.CANCELLED
+    assert call_api(store, "k").state is JobState.CANCELLED
     done = encode_progress(JobProgress(JobState.COMPLETED, "a", {}, 5.0))
     store.put("progress", JOB, done)
-    assert ask(store, "k").state is JobState.COMPLETED
+    assert call_api(store, "k").state is JobState.COMPLETED
