--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -1,5 +1,6 @@
 """Jobs as graphs of steps: records, their storage, submission and cancellation."""
 
+from .acceptance import JobOperations, OperationResult
 from .configuration import (
     Account,
     AdvicePolicy,
@@ -8,8 +9,8 @@
     Queue,
     Service,
 )
-from .job_api import AdmittedCall, JobApi, JobReply, JobSubmission, ReplyKind
-from .job_operations import JobOperations, OperationResult
+from .desk import AdmittedCall, JobApi, JobReply, JobSubmission, ReplyKind
+from .follower import TableWatcher
 from .progress import (
     GANG_INDEX,
     JobProgress,
@@ -29,7 +30,6 @@
     TaskName,
 )
 from .rows import ExpectedRevision, RowRemoval, RowSnapshot, RowWrite, Store, StoreRow
-from .table_watcher import TableWatcher
 
 __all__ = [
     "FINISHED_STATES",
--- a/libs/planner/src/bilberryhitch_planner/journal.py
+++ b/libs/planner/src/bilberryhitch_planner/journal.py
@@ -19,14 +19,7 @@
     decode_progress,
     encode_progress,
 )
-from bilberryhitch_jobs.errors import (
-    STORE_ERRORS,
-    CommitConflict,
-    RowUnreadable,
-    StoreRefused,
-    StoreUnknown,
-)
-from bilberryhitch_jobs.job_operations import (
+from bilberryhitch_jobs.acceptance import (
     CANCEL_SUFFIX,
     JOBS_TABLE,
     PROGRESS_TABLE,
@@ -34,6 +27,13 @@
     WAITING_KEY,
     job_partition,
 )
+from bilberryhitch_jobs.errors import (
+    STORE_ERRORS,
+    CommitConflict,
+    RowUnreadable,
+    StoreRefused,
+    StoreUnknown,
+)
 from bilberryhitch_telemetry import events, log
 
 from .errors import Deposed
