--- a/libs/jobs/src/bilberryhitch_jobs/acceptance.py
+++ b/libs/jobs/src/bilberryhitch_jobs/acceptance.py
@@ -39,7 +39,7 @@
 # Allows a second attempt after a lost response within the caller's timeout of 3 s.
 CALL_TIMEOUT_S = 0.9
 READ_TIMEOUT_S = 0.6
-RETRY_DELAY_S = 0.05
+CALL_RETRY_DELAY_S = 0.05
 # With less time left the response would arrive after the caller's deadline.
 MIN_CALL_TIMEOUT_S = 0.02
 
@@ -229,7 +229,7 @@
             except StoreUnknown as error:
                 _log_store_error(request_id, error)
                 result = OperationResult.UNKNOWN
-            await asyncio.sleep(RETRY_DELAY_S)
+            await asyncio.sleep(CALL_RETRY_DELAY_S)
         return result
 
 
--- a/libs/jobs/src/bilberryhitch_jobs/follower.py
+++ b/libs/jobs/src/bilberryhitch_jobs/follower.py
@@ -12,7 +12,7 @@
 # A connection without responses is detected after this plus the client's margin.
 WATCH_WAIT_S = 1.0
 READ_TIMEOUT_S = 1.5
-RETRY_DELAY_S = 0.1
+WATCH_RETRY_DELAY_S = 0.1
 
 
 class TableWatcher:
@@ -53,7 +53,7 @@
                 self._revision = None
             except STORE_ERRORS as error:
                 self._note_failure(error)
-                await asyncio.sleep(RETRY_DELAY_S)
+                await asyncio.sleep(WATCH_RETRY_DELAY_S)
 
     async def poll(self) -> None:
         """Read the whole table on the first call, its changes on later ones.
