--- a/libs/api/src/bilberryhitch_api/admin.py
+++ b/libs/api/src/bilberryhitch_api/admin.py
@@ -14,7 +14,7 @@
     encode,
     parse_json,
     parse_rows,
-    quote,
+    shorten_value,
 )
 from bilberryhitch_model.errors import (
     BadInput,
@@ -153,7 +153,7 @@
 def _known_host(membership: Membership, request: web.Request) -> str:
     name = request.match_info["host"]
     if all(host.name != name for host in membership.hosts()):
-        raise NotFound("host", str(quote(name)))
+        raise NotFound("host", str(shorten_value(name)))
     return name
 
 
@@ -200,14 +200,16 @@
 def _base_revision(request: web.Request) -> int:
     text = request.query.get("base_revision", "")
     if not (text.isascii() and text.isdigit() and len(text) <= len(str(MAX_REVISION))):
-        raise BadInput("base_revision", quote(text), "is the revision you edited")
+        raise BadInput(
+            "base_revision", shorten_value(text), "is the revision you edited"
+        )
     return int(text)
 
 
 def _dry_run(request: web.Request) -> bool:
     text = request.query.get("dry_run", "0")
     if text not in ("0", "1"):
-        raise BadInput("dry_run", quote(text), "is 0 or 1")
+        raise BadInput("dry_run", shorten_value(text), "is 0 or 1")
     return text == "1"
 
 
--- a/libs/api/src/bilberryhitch_api/bodies.py
+++ b/libs/api/src/bilberryhitch_api/bodies.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from aiohttp import web
-from bilberryhitch_model import parse_json, quote
+from bilberryhitch_model import parse_json, shorten_value
 from bilberryhitch_model.errors import BadInput
 
 from .errors import BodyTooLarge
@@ -37,14 +37,18 @@
     """
     plain = parse_json(await read_body(request, max_bytes))
     if not isinstance(plain, dict):
-        raise BadInput("$", quote(plain), "is an object")
+        raise BadInput("$", shorten_value(plain), "is an object")
     for name, value in plain.items():
         if name not in fields:
-            raise BadInput(quote(name), quote(value), "is a known field")
+            raise BadInput(
+                shorten_value(name), shorten_value(value), "is a known field"
+            )
         if isinstance(value, bool) and fields[name] is not bool:
             raise BadInput(name, value, f"is of type {_names(fields[name])}")
         if not isinstance(value, fields[name]):
-            raise BadInput(name, quote(value), f"is of type {_names(fields[name])}")
+            raise BadInput(
+                name, shorten_value(value), f"is of type {_names(fields[name])}"
+            )
     return plain
 
 
@@ -60,9 +64,13 @@
         return default
     # The length check keeps `int` away from texts of any size.
     if not (text.isascii() and text.isdigit() and len(text) <= len(str(high))):
-        raise BadInput(name, quote(text), f"is a number between {low} and {high}")
+        raise BadInput(
+            name, shorten_value(text), f"is a number between {low} and {high}"
+        )
     if not low <= int(text) <= high:
-        raise BadInput(name, quote(text), f"is a number between {low} and {high}")
+        raise BadInput(
+            name, shorten_value(text), f"is a number between {low} and {high}"
+        )
     return int(text)
 
 
--- a/libs/api/src/bilberryhitch_api/errors.py
+++ b/libs/api/src/bilberryhitch_api/errors.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from aiohttp import web
-from bilberryhitch_model import errors, quote, to_plain
+from bilberryhitch_model import errors, shorten_value, to_plain
 from bilberryhitch_telemetry import events, log
 
 OUTCOME_HEADER = "Bilberryhitch-Outcome"
@@ -98,4 +98,4 @@
     plain = to_plain(value)
     if isinstance(plain, float) and not math.isfinite(plain):
         return str(plain)
-    return plain if isinstance(plain, dict) else quote(plain)
+    return plain if isinstance(plain, dict) else shorten_value(plain)
--- a/libs/model/src/bilberryhitch_model/__init__.py
+++ b/libs/model/src/bilberryhitch_model/__init__.py
@@ -8,7 +8,7 @@
     parse_jsonc,
     parse_rows,
     parse_tables,
-    quote,
+    shorten_value,
     value_at,
 )
 from .tables import (
@@ -82,7 +82,7 @@
     "parse_jsonc",
     "parse_rows",
     "parse_tables",
-    "quote",
+    "shorten_value",
     "to_plain",
     "validate_tables",
     "value_at",
--- a/libs/model/src/bilberryhitch_model/parsing.py
+++ b/libs/model/src/bilberryhitch_model/parsing.py
@@ -60,7 +60,7 @@
     except BadInput as error:
         return Error(TableInvalid("", error.field, error.value, error.rule))
     if not isinstance(plain, Mapping):
-        return Error(TableInvalid("", "$", quote(plain), "is an object"))
+        return Error(TableInvalid("", "$", shorten_value(plain), "is an object"))
     for key in plain:
         if key not in ("routes", "pools"):
             return Error(TableInvalid("", key, "", "is `routes` or `pools`"))
@@ -87,7 +87,7 @@
     """
     table = f"{kind.__name__.lower()}s"
     if not isinstance(plain, Sequence) or isinstance(plain, str):
-        return Error(TableInvalid("", table, quote(plain), "is a list of rows"))
+        return Error(TableInvalid("", table, shorten_value(plain), "is a list of rows"))
     rows: dict[str, R] = {}
     for index, item in enumerate(plain):
         row = _row_name(table, index, item)
@@ -102,7 +102,7 @@
     return Ok(tuple(rows.values()))
 
 
-def quote(value: Any) -> Any:
+def shorten_value(value: Any) -> Any:
     """Return a value short enough to be part of an error."""
     if value is None or isinstance(value, bool | int | float):
         return value
@@ -124,16 +124,18 @@
 
 def _row_name(table: str, index: int, item: Any) -> str:
     name = item.get("name") if isinstance(item, Mapping) else None
-    return quote(name) if isinstance(name, str) else f"{table}[{index}]"
+    return shorten_value(name) if isinstance(name, str) else f"{table}[{index}]"
 
 
 def _row_error(row: str, item: Any, error: BadInput) -> TableInvalid:
     named = _NAMED_FIELD.search(error.rule)
     if named is None:
         field = error.field.removeprefix("$.")
-        return TableInvalid(row, field, quote(value_at(item, error.field)), error.rule)
+        return TableInvalid(
+            row, field, shorten_value(value_at(item, error.field)), error.rule
+        )
     path = f"{error.field}.{named[1]}"
-    value = quote(value_at(item, path))
+    value = shorten_value(value_at(item, path))
     return TableInvalid(row, path.removeprefix("$."), value, error.rule)
 
 
@@ -162,7 +164,9 @@
     found: dict[str, Any] = {}
     for key, value in pairs:
         if key in found:
-            raise BadInput(quote(key), quote(value), "appears once in its object")
+            raise BadInput(
+                shorten_value(key), shorten_value(value), "appears once in its object"
+            )
         found[key] = value
     return found
 
@@ -174,7 +178,7 @@
 def _finite(text: str) -> float:
     number = float(text)
     if not math.isfinite(number):
-        raise BadInput("$", quote(text), "is a finite number")
+        raise BadInput("$", shorten_value(text), "is a finite number")
     return number
 
 
--- a/libs/settings/src/bilberryhitch_settings/settings.py
+++ b/libs/settings/src/bilberryhitch_settings/settings.py
@@ -10,7 +10,7 @@
     Address,
     PeerAddress,
     parse_jsonc,
-    quote,
+    shorten_value,
     value_at,
 )
 from bilberryhitch_model.errors import BadInput, SettingsInvalid
@@ -99,7 +99,7 @@
     value = "" if secret or path == "$" else value_at(plain, path)
     if isinstance(value, Mapping | list):
         value = ""
-    return SettingsInvalid(file, path, quote(value), rule)
+    return SettingsInvalid(file, path, shorten_value(value), rule)
 
 
 def _violations(file: str, checked: SettingsFile) -> Iterator[SettingsInvalid]:
