--- a/libs/app/src/bilberryhitch/check_command.py
+++ b/libs/app/src/bilberryhitch/check_command.py
@@ -44,7 +44,7 @@
     parsed = parse_tables(path.read_text(encoding="utf-8"))
     if parsed.is_error():
         return _print_table_error(path, parsed.error)
-    checked = validate_tables(parsed.ok, (), resized=())
+    checked = validate_tables(parsed.ok, (), check_capacity_of=())
     if checked.is_error():
         return _print_table_error(path, checked.error)
     rows = len(parsed.ok.routes), len(parsed.ok.pools)
--- a/libs/config/src/bilberryhitch_config/commits.py
+++ b/libs/config/src/bilberryhitch_config/commits.py
@@ -49,7 +49,7 @@
         return Error(named.error)
     changed = with_change(tables, change, tables.revision + 1)
     resized = {pool.name for pool in change.put_pools}
-    valid = validate_tables(changed, hosts, resized=resized)
+    valid = validate_tables(changed, hosts, check_capacity_of=resized)
     return Error(valid.error) if valid.is_error() else Ok(changed)
 
 
--- a/libs/model/src/bilberryhitch_model/validation.py
+++ b/libs/model/src/bilberryhitch_model/validation.py
@@ -53,17 +53,20 @@
 
 
 def validate_tables(
-    tables: Tables, hosts: Sequence[Host], *, resized: Collection[str] | None = None
+    tables: Tables,
+    hosts: Sequence[Host],
+    *,
+    check_capacity_of: Collection[str] | None = None,
 ) -> Result[None, TableInvalid]:
     """Check every rule of both tables.
 
     :param hosts: the hosts known, in any state
-    :param resized: pools whose guarantees must fit the hosts; all by default.
+    :param check_capacity_of: pools whose guarantees must fit the hosts; all by default.
         Lost hosts can make accepted guarantees impossible, and that must not
         keep an operator from changing other rows.
     :returns: the first violation
     """
-    checked = tables.pools.keys() if resized is None else resized
+    checked = tables.pools.keys() if check_capacity_of is None else check_capacity_of
     known = {host.name: host for host in hosts}
     for violation in _violations(tables, known, checked):
         return Error(violation)
@@ -71,7 +74,7 @@
 
 
 def _violations(
-    tables: Tables, known: Mapping[str, Host], resized: Collection[str]
+    tables: Tables, known: Mapping[str, Host], check_capacity_of: Collection[str]
 ) -> Violations:
     yield from _counts(tables)
     for name, pool in tables.pools.items():
@@ -80,7 +83,7 @@
     for name, route in tables.routes.items():
         yield from _route_rules(name, route)
         yield from _route_pool(route, tables.pools)
-    for name in resized:
+    for name in check_capacity_of:
         if name in tables.pools:
             yield from _capacity(tables.pools[name], known)
 
--- a/libs/model/tests/test_validation.py
+++ b/libs/model/tests/test_validation.py
@@ -69,7 +69,7 @@
 
 def test_lost_hosts_do_not_block_other_changes():
     # Guards against operators locked out because a guaranteed host died.
-    assert check(guaranteed((48, 2)), resized=()).is_ok()
+    assert check(guaranteed((48, 2)), check_capacity_of=()).is_ok()
 
 
 def test_tables_of_absurd_size_are_refused():
