--- a/libs/requests/src/bilberryhitch_requests/__init__.py
+++ b/libs/requests/src/bilberryhitch_requests/__init__.py
@@ -6,7 +6,7 @@
     HttpExecutorClient,
     check_answer,
 )
-from .ports import ConfigView, MembershipView, PeerCalls
+from .interfaces import ConfigView, MembershipView, PeerCalls
 from .service import RequestService
 
 __all__ = [
--- a/libs/requests/src/bilberryhitch_requests/claims.py
+++ b/libs/requests/src/bilberryhitch_requests/claims.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: a claim before dispatch, the outcome after it."""
+"""Idempotency keys: claim rows written before dispatch, outcome rows after it."""
 
 import asyncio
 import hashlib
@@ -14,12 +14,12 @@
 from bilberryhitch_platform import Delete, Expect, Put, TableService, abandon, commit
 from expression import Error, Ok, Result
 
-CLAIM_TRIES = 3
-FIRST_DELAY_S = 0.2
-MAX_DELAY_S = 5.0
-# Without an outcome row a retry gets "unknown", so a host that shuts down stops
-# trying after this time rather than stay for the whole outage.
-GIVE_UP_S = 60.0
+MAX_CLAIM_ATTEMPTS = 3
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 5.0
+# Shutdown waits for these writes, so they are not retried for the whole of a store
+# outage. Without the outcome row a later call with the key gets "unknown".
+STORE_RETRY_TIMEOUT_S = 60.0
 
 
 class ClaimRow(NamedTuple):
@@ -42,8 +42,9 @@
 
 
 class Claim(NamedTuple):
-    """A claim that this process holds.
+    """A claim held by this process.
 
+    :param key: row key of the claim
     :param revision: store revision of the claim row
     """
 
@@ -53,18 +54,21 @@
     revision: int
 
 
-def claim_key(client_account: str, key: str) -> str:
+def claim_row_key(client_account: str, key: str) -> str:
     """Return the row key of a claim."""
     return f"claims/{client_account}/{key}"
 
 
-def outcome_key(handle: str) -> str:
+def outcome_row_key(handle: str) -> str:
     """Return the row key of an outcome."""
     return f"requests/{handle}"
 
 
-def body_digest(call: RequestCall) -> str:
-    """Return what must be equal in every retry under the same key."""
+def request_digest(call: RequestCall) -> str:
+    """Return the digest that every call with the same idempotency key must match.
+
+    :returns: SHA-256 of route, content type and body, in hex
+    """
     digest = hashlib.sha256()
     for part in (call.route.encode(), call.content_type.encode(), call.body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -73,7 +77,7 @@
 
 
 class Claims:
-    """Claims and outcome rows in the table service."""
+    """Reads and writes claim and outcome rows in the table service."""
 
     def __init__(
         self,
@@ -87,39 +91,41 @@
         self._new_id = new_id
 
     async def claim(self, call: RequestCall, handle: str) -> Result[Claim, ClaimRow]:
-        """Claim the call's key, or return the claim that holds it.
+        """Claim the call's idempotency key.
 
-        :raises StoreUnavailable: there is no claim under this handle and never
-            will be
-        :raises StoreAnswerLost: there may be one; see :meth:`resolve`
+        :returns: the claim, or the row of the earlier call that holds the key
+        :raises StoreUnavailable: the handle holds no claim and never will
+        :raises StoreAnswerLost: the handle may hold a claim; see
+            :meth:`remove_unresolved`
         """
-        key = claim_key(call.client_account, call.key)
-        for _ in range(CLAIM_TRIES):
+        key = claim_row_key(call.client_account, call.key)
+        for _ in range(MAX_CLAIM_ATTEMPTS):
             row = await self._tables.get(key)
             if row is not None:
                 return Error(decode(ClaimRow, row.value))
-            value = encode(ClaimRow(handle, body_digest(call), self._now()))
+            value = encode(ClaimRow(handle, request_digest(call), self._now()))
             revision = await self._commit_or_abandon(key, value)
             if revision:
                 return Ok(Claim(key, call.client_account, handle, revision))
         raise StoreUnavailable("claim")
 
     async def _commit_or_abandon(self, key: str, value: bytes) -> int:
-        """Return the revision of the new row, or 0 when there is another."""
+        """Return the revision of the new row, or 0 if the key has a row already."""
         operation_id = self._new_id()
         try:
             result = await commit(
                 self._tables, [Expect(key, 0)], [Put(key, value)], operation_id
             )
         except StoreAnswerLost:
-            return await self._abandoned(operation_id)
+            return await self._abandon_claim(operation_id)
         return result.ok if result.is_ok() else 0
 
-    async def _abandoned(self, operation_id: str) -> int:
-        """Return the revision if the lost claim applied; else make sure it never does.
+    async def _abandon_claim(self, operation_id: str) -> int:
+        """Abandon a commit whose answer was lost, unless it was applied.
 
-        :raises StoreUnavailable: it never will
-        :raises StoreAnswerLost: still unknown
+        :returns: the revision of the row, if the commit was applied
+        :raises StoreUnavailable: the commit was not applied and never will be
+        :raises StoreAnswerLost: whether it was applied is still unknown
         """
         try:
             result = await abandon(self._tables, operation_id)
@@ -129,26 +135,28 @@
             raise StoreUnavailable("claim")
         return result.error.revision
 
-    async def resolve(self, call: RequestCall, handle: str, operation_id: str) -> None:
-        """Remove a claim whose answer was lost and whose request does not run."""
+    async def remove_unresolved(
+        self, call: RequestCall, handle: str, operation_id: str
+    ) -> None:
+        """Remove the claim of a lost commit answer; its request must not run."""
 
         async def remove() -> None:
             result = await abandon(self._tables, operation_id)
             if result.is_error():
-                key = claim_key(call.client_account, call.key)
+                key = claim_row_key(call.client_account, call.key)
                 revision = result.error.revision
                 claim = Claim(key, call.client_account, handle, revision)
                 await self._delete(claim)
 
-        await self._until_done(remove)
+        await self._retry_until_done(remove)
 
     async def release(self, claim: Claim) -> None:
-        """Free the key of a request that certainly did not run."""
-        await self._until_done(lambda: self._delete(claim))
+        """Delete the claim of a request that did not run."""
+        await self._retry_until_done(lambda: self._delete(claim))
 
-    async def settle(self, claim: Claim, outcome: Outcome) -> None:
-        """Write the outcome under the handle, once."""
-        key = outcome_key(claim.handle)
+    async def write_outcome(self, claim: Claim, outcome: Outcome) -> None:
+        """Write the outcome row of the claim's handle unless it exists."""
+        key = outcome_row_key(claim.handle)
         value = encode(OutcomeRow(claim.client_account, outcome))
         operation_id = self._new_id()
 
@@ -157,14 +165,14 @@
                 self._tables, [Expect(key, 0)], [Put(key, value)], operation_id
             )
 
-        await self._until_done(put)
+        await self._retry_until_done(put)
 
-    async def outcome(self, handle: str) -> OutcomeRow | None:
-        """Return the outcome row.
+    async def read_outcome(self, handle: str) -> OutcomeRow | None:
+        """Return the outcome row of a handle, or ``None`` if there is none.
 
-        :raises StoreUnavailable: it cannot be read now
+        :raises StoreUnavailable: the store cannot be read now
         """
-        row = await self._tables.get(outcome_key(handle))
+        row = await self._tables.get(outcome_row_key(handle))
         return None if row is None else decode(OutcomeRow, row.value)
 
     async def _delete(self, claim: Claim) -> None:
@@ -175,11 +183,11 @@
             f"release-{claim.handle}",
         )
 
-    async def _until_done(self, step: Callable[[], Awaitable[None]]) -> None:
-        """Repeat a step that is safe to repeat until the store takes it."""
+    async def _retry_until_done(self, step: Callable[[], Awaitable[None]]) -> None:
+        """Retry an idempotent step with backoff until it succeeds or times out."""
         loop = asyncio.get_running_loop()
-        give_up_s = loop.time() + GIVE_UP_S
-        delay_s = FIRST_DELAY_S
+        give_up_s = loop.time() + STORE_RETRY_TIMEOUT_S
+        delay_s = INITIAL_BACKOFF_S
         while True:
             try:
                 await step()
@@ -188,4 +196,4 @@
                 if loop.time() >= give_up_s:
                     return
             await asyncio.sleep(delay_s)
-            delay_s = min(MAX_DELAY_S, 2 * delay_s)
+            delay_s = min(MAX_BACKOFF_S, 2 * delay_s)
--- a/libs/requests/src/bilberryhitch_requests/dispatch.py
+++ b/libs/requests/src/bilberryhitch_requests/dispatch.py
@@ -1,4 +1,4 @@
-"""Runs one attempt of a request in a granted executor slot."""
+"""Runs one attempt of a request in an acquired executor slot."""
 
 import asyncio
 from collections import defaultdict
@@ -10,17 +10,17 @@
 from .executor_client import ExecutorAnswer, ExecutorClient, check_answer
 from .forwarding import Failed
 from .outcomes import RequestRecord
-from .places import place_of
-from .slots import ExecutorSlots, Lease
-from .waiting import WaitingRequests
+from .queue_key import queue_key_of
+from .slots import ExecutorSlots, SlotLease
+from .waiting import RequestQueue
 
 HTTP_OK = 200
 
 
 class Dispatcher:
-    """Attempts at executors of this host.
+    """Runs attempts at the executors owned by this host.
 
-    :ivar usage: slot seconds served since the start, by ``<pool>/<client account>``
+    :ivar usage: slot seconds used since the start, by ``<pool>/<client account>``
     """
 
     def __init__(
@@ -37,16 +37,19 @@
 
     async def attempt(
         self,
-        lease: Lease,
+        lease: SlotLease,
         call: RequestCall,
         route: Route,
         record: RequestRecord,
-        waiting: WaitingRequests,
+        queue: RequestQueue,
     ) -> Outcome | Failed:
-        """Run an attempt that :meth:`RequestRecord.grant` allows; frees the slot."""
+        """Run one attempt, if :meth:`RequestRecord.grant` allows it.
+
+        The slot is released in any case.
+        """
         attempt_id = self._new_id()
         if not record.grant(record.run or attempt_id):
-            waiting.unused(place_of(call, route))
+            queue.refund_estimate(queue_key_of(call, route))
             lease.release()
             return Failed.NOT_RUN
         run = record.run
@@ -56,20 +59,20 @@
         try:
             answer = await self._call(lease, attempt_id, call, route)
         except ExecutorNotAccepted:
-            self._slots.failed(name)
+            self._slots.record_failure(name)
             return Failed.NOT_RUN
         except ExecutorLost:
-            self._slots.failed(name)
+            self._slots.record_failure(name)
             record.lose(run)
             return Failed.LOST
         finally:
-            self._charge(call, route, waiting, loop.time() - started_s)
+            self._charge(call, route, queue, loop.time() - started_s)
             lease.release()
-        self._slots.succeeded(name)
-        return _outcome(answer)
+        self._slots.record_success(name)
+        return _outcome_of(answer)
 
     async def _call(
-        self, lease: Lease, attempt_id: str, call: RequestCall, route: Route
+        self, lease: SlotLease, attempt_id: str, call: RequestCall, route: Route
     ) -> ExecutorAnswer:
         host = lease.host
         try:
@@ -91,14 +94,14 @@
         self,
         call: RequestCall,
         route: Route,
-        waiting: WaitingRequests,
+        queue: RequestQueue,
         cost_s: float,
     ) -> None:
-        waiting.finished(place_of(call, route), cost_s)
+        queue.charge_observed(queue_key_of(call, route), cost_s)
         self.usage[f"{route.pool}/{call.client_account}"] += cost_s
 
 
-def _outcome(answer: ExecutorAnswer) -> Outcome:
+def _outcome_of(answer: ExecutorAnswer) -> Outcome:
     if answer.status == HTTP_OK:
         return Outcome("completed", answer.body, answer.content_type)
     detail = f"executor answered {answer.status}"
--- a/libs/requests/src/bilberryhitch_requests/executor_client.py
+++ b/libs/requests/src/bilberryhitch_requests/executor_client.py
@@ -1,4 +1,4 @@
-"""Calls executors; an answer is passed on whole and to its own call, or not."""
+"""Executor client; accepts only complete answers that belong to their attempt."""
 
 import asyncio
 from typing import NamedTuple, Protocol
@@ -8,8 +8,8 @@
 from bilberryhitch_model.errors import ExecutorLost, ExecutorNotAccepted
 
 CONNECTIONS_PER_EXECUTOR = 64
-# Shorter than the idle time-outs of HTTP servers, so that a connection that the
-# executor is about to close is not picked for a request that cannot be retried.
+# Shorter than the idle timeouts of HTTP servers, so that a request that cannot be
+# retried is not sent on a connection that the executor is about to close.
 KEEPALIVE_S = 5.0
 NOT_ACCEPTED_STATUS = 503
 NOT_ACCEPTED_BODY = b"not accepted"
@@ -18,10 +18,10 @@
 
 
 class ExecutorAnswer(NamedTuple):
-    """A whole answer.
+    """Answer of an executor to one attempt.
 
     :param status: HTTP status; 200 means that the run succeeded
-    :param content_length: the length that the executor announced, in bytes
+    :param content_length: value of the Content-Length header, in bytes
     """
 
     attempt_id: str
@@ -32,9 +32,9 @@
 
 
 class ExecutorClient(Protocol):
-    """How requests reach executors."""
+    """Sends requests and probes to executors."""
 
-    async def call(  # noqa: PLR0917 - signature of the design
+    async def call(  # noqa: PLR0917 - one parameter per field of the protocol
         self,
         host: Host,
         attempt_id: str,
@@ -46,20 +46,22 @@
     ) -> ExecutorAnswer:
         """Run one request.
 
-        :raises ExecutorNotAccepted: it certainly did not run
-        :raises ExecutorLost: it may have run; no whole answer came back
+        :param timeout_s: limit of the whole call
+        :param max_body_bytes: limit of the answer's body
+        :raises ExecutorNotAccepted: the request did not run
+        :raises ExecutorLost: the request may have run; no complete answer came back
         """
 
     async def probe(self, host: Host, timeout_s: float) -> bool:
-        """Return whether the executor answers at all; runs nothing."""
+        """Return whether the executor responds; runs no request."""
 
 
 def check_answer(
     answer: ExecutorAnswer, host: str, attempt_id: str, max_body_bytes: int
 ) -> ExecutorAnswer:
-    """Return the answer if it is whole and belongs to the attempt.
+    """Return the answer if it is complete and belongs to the attempt.
 
-    :raises ExecutorLost: otherwise
+    :raises ExecutorLost: the answer is incomplete, too long or of another attempt
     """
     if answer.attempt_id != attempt_id:
         raise ExecutorLost(host, "answer to another attempt")
@@ -71,7 +73,7 @@
 
 
 class HttpExecutorClient:
-    """Executor protocol over HTTP, with kept-alive connections."""
+    """Executor client over HTTP with persistent connections."""
 
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
@@ -94,7 +96,7 @@
         session, self._session = self._session, None
         await session.close()
 
-    async def call(  # noqa: PLR0917 - signature of the design
+    async def call(  # noqa: PLR0917 - one parameter per field of the protocol
         self,
         host: Host,
         attempt_id: str,
@@ -129,7 +131,7 @@
             raise ExecutorLost(host.name, type(error).__name__) from error
 
     async def probe(self, host: Host, timeout_s: float) -> bool:
-        """Return whether the executor answers HTTP; any status counts."""
+        """Return whether the executor answers HTTP with any status."""
         if self._session is None:
             return False
         try:
@@ -154,7 +156,7 @@
 async def _read(
     response: aiohttp.ClientResponse, host: str, attempt_id: str, limit: int
 ) -> ExecutorAnswer:
-    """Read and check an answer; closes the connection of a wrong one."""
+    """Read and check an answer; closes the connection if the check fails."""
     try:
         length = response.content_length
         if length is None:
--- a/libs/requests/src/bilberryhitch_requests/forwarded.py
+++ b/libs/requests/src/bilberryhitch_requests/forwarded.py
@@ -1,4 +1,4 @@
-"""Requests that another entry host forwarded to this one."""
+"""Runs requests that other entry hosts forwarded to this one."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,29 +7,31 @@
 from bilberryhitch_peers import ForwardReply, ForwardRequest
 
 from .dispatch import Dispatcher
-from .forwarding import Failed, Forwarder, new_run
-from .outcomes import Outcomes, RequestRecord
-from .places import place_of
-from .slots import Lease
-from .waiting import Refusal, Ticket, WaitingRequests
+from .forwarding import Failed, Forwarder, new_run_id
+from .outcomes import RequestRecord, RequestRecords
+from .queue_key import queue_key_of
+from .slots import SlotLease
+from .waiting import NoSlot, QueuedRequest, RequestQueue
 
-# Half of what the peer link handles at once, so that forwards which wait for a
-# slot leave room for grants, heartbeats and notices.
-MAX_FORWARDED = 512
-_REFUSED = Outcome("not_run", detail="refused by the executor")
+# Half of the messages that the peer link handles at once: forwards that wait for a
+# slot must not block grants, heartbeats and notices.
+MAX_CONCURRENT_FORWARDS = 512
+_EXECUTOR_REFUSED = Outcome("not_run", detail="refused by the executor")
 
 
 class ForwardedRequests:
-    """Runs copies of other hosts' requests under their grants.
+    """Runs forwarded requests under grants of their originating entry hosts.
 
-    A second delivery of the same forward joins the first one.
+    A duplicate of a forward waits for the outcome of the first delivery.
+
+    :param copies: records of the forwarded requests, by forward id
     """
 
     def __init__(
         self,
         forwarder: Forwarder,
         dispatcher: Dispatcher,
-        copies: Outcomes,
+        copies: RequestRecords,
         *,
         new_id: Callable[[], str],
     ) -> None:
@@ -37,34 +39,39 @@
         self._dispatcher = dispatcher
         self._copies = copies
         self._new_id = new_id
-        self._serving = 0
+        self._serving_count = 0
 
     async def serve(
         self,
         sender: str,
         message: ForwardRequest,
         route: Route,
-        waiting: WaitingRequests,
+        queue: RequestQueue,
     ) -> ForwardReply:
-        """Return the outcome of a forwarded request, under the id of its run."""
-        forward = message.handle
-        copy = self._copies.get(forward)
-        if copy is None and self._serving >= MAX_FORWARDED:
-            return ForwardReply(forward, Outcome("not_run", detail="too many forwards"))
+        """Run a forwarded request and return the reply.
+
+        The reply carries the run id, or the forward id if no run was started.
+        """
+        forward_id = message.handle
+        copy = self._copies.get(forward_id)
+        if copy is None and self._serving_count >= MAX_CONCURRENT_FORWARDS:
+            return ForwardReply(
+                forward_id, Outcome("not_run", detail="too many forwards")
+            )
         if copy is None:
-            copy = self._copies.open(forward, message.call.client_account)
-            self._serving += 1
+            copy = self._copies.open(forward_id, message.call.client_account)
+            self._serving_count += 1
             try:
-                copy.finish(await self._run(sender, message, route, waiting, copy))
+                copy.finish(await self._run(sender, message, route, queue, copy))
             finally:
-                self._serving -= 1
+                self._serving_count -= 1
                 copy.close("internal failure")
         await copy.done.wait()
-        return ForwardReply(copy.run or forward, copy.answer())
+        return ForwardReply(copy.run or forward_id, copy.current_outcome())
 
-    def status(self, run: str, forward: str, client_account: str) -> Outcome | None:
-        """Return the outcome of a run, or ``None`` when it is not known."""
-        copy = self._copies.get(forward)
+    def status(self, run: str, forward_id: str, client_account: str) -> Outcome | None:
+        """Return the outcome of a run, or ``None`` if it is not known."""
+        copy = self._copies.get(forward_id)
         if copy is None or copy.run != run or copy.client_account != client_account:
             return None
         return copy.outcome
@@ -74,39 +81,39 @@
         sender: str,
         message: ForwardRequest,
         route: Route,
-        waiting: WaitingRequests,
+        queue: RequestQueue,
         copy: RequestRecord,
     ) -> Outcome:
         loop = asyncio.get_running_loop()
-        place = place_of(message.call, route)
-        ticket = Ticket(place, may_forward=False)
-        timer = loop.call_later(message.wait_s, waiting.withdraw, ticket, "timed out")
+        queue_key = queue_key_of(message.call, route)
+        queued = QueuedRequest(queue_key, may_forward=False)
+        timer = loop.call_later(message.wait_s, queue.withdraw, queued, "timed out")
         try:
-            target = await waiting.wait(ticket)
+            assignment = await queue.wait(queued)
         finally:
             timer.cancel()
-        if not isinstance(target, Lease):
-            return _not_run(target)
-        if not await self._granted(sender, copy):
-            waiting.unused(place)
-            target.release()
+        if not isinstance(assignment, SlotLease):
+            return _not_run(assignment)
+        if not await self._request_grant(sender, copy):
+            queue.refund_estimate(queue_key)
+            assignment.release()
             return Outcome("not_run", detail="no longer wanted")
         result = await self._dispatcher.attempt(
-            target, message.call, route, copy, waiting
+            assignment, message.call, route, copy, queue
         )
         if result is Failed.LOST:
             return Outcome("unknown", detail="executor lost")
-        # A refused copy goes back to the first entry host instead of waiting here:
-        # while it holds the grant, that host could not call it back.
-        return _REFUSED if result is Failed.NOT_RUN else result
+        # A refused request returns to its originating host instead of being queued
+        # here again: while it holds the grant, that host cannot cancel it.
+        return _EXECUTOR_REFUSED if result is Failed.NOT_RUN else result
 
-    async def _granted(self, sender: str, copy: RequestRecord) -> bool:
-        """Ask for the grant; the slot is held meanwhile."""
-        run = new_run(copy.handle, self._new_id)
+    async def _request_grant(self, sender: str, copy: RequestRecord) -> bool:
+        """Ask the originating host for the grant; the slot stays acquired meanwhile."""
+        run = new_run_id(copy.handle, self._new_id)
         copy.run = run
-        return await self._forwarder.ask_grant(sender, run, copy.client_account)
+        return await self._forwarder.request_grant(sender, run, copy.client_account)
 
 
-def _not_run(target: object) -> Outcome:
-    reason = target.reason if isinstance(target, Refusal) else "no free slot"
+def _not_run(assignment: object) -> Outcome:
+    reason = assignment.reason if isinstance(assignment, NoSlot) else "no free slot"
     return Outcome("not_run", detail=reason)
--- a/libs/requests/src/bilberryhitch_requests/forwarding.py
+++ b/libs/requests/src/bilberryhitch_requests/forwarding.py
@@ -1,10 +1,10 @@
-"""Requests that run at another entry host, which owns free executor slots.
+"""Forwards requests to other entry hosts that own executors with free slots.
 
-The owner asks the first entry host for a grant right before it runs a forwarded
-request, and each forward is granted once. So a forward that was not granted can
-be called back with certainty, and a message that arrives late or twice, even at a
-new incarnation of the owner, runs nothing. Grants travel as
-``RequestStatusAsk``/``RequestStatusReply`` about a run id.
+Immediately before the owner runs a forwarded request, it asks the originating entry
+host for a grant, and each forward is granted at most once. A forward without a grant
+can therefore be cancelled safely, and a message that is delayed or duplicated, even
+to a new incarnation of the owner, runs nothing. A grant is requested with a
+``RequestStatusAsk`` for the run id and given in the ``RequestStatusReply``.
 """
 
 import asyncio
@@ -24,43 +24,47 @@
     RequestStatusReply,
 )
 
-from .handles import run_id
+from .handles import make_run_id
+from .interfaces import MembershipView, PeerCalls
 from .outcomes import RequestRecord
-from .places import Place
-from .ports import MembershipView, PeerCalls
+from .queue_key import QueueKey
 from .slots import SLOTS_PER_EXECUTOR, ExecutorSlots
 
-# A peer's counts are renewed by each heartbeat (0.5 s) and go stale after the time
-# in which it is counted as silent.
-CREDIT_TERM_S = 2.0
-# A peer that refused is asked again after its next heartbeat.
-AVOID_S = 0.5
-# A host that owns no executor of a pool keeps this many requests of each caller
-# per slot at an owner: one runs, one waits there in fair order with the requests
-# of other hosts. The rest waits here, so that a flood does not fill the owner.
-FORWARDS_PER_SLOT = 2
-WATCH_S = 0.25
-GRANT_TIMEOUT_S = 1.0
+# Heartbeats renew a peer's counts every 0.5 s. The counts expire after the liveness
+# timeout of membership.
+CREDIT_TTL_S = 2.0
+# One heartbeat interval: a peer that refused a request is used again once it has
+# reported new counts.
+REFUSAL_BACKOFF_S = 0.5
+# Open forwards of one queue key per slot of an owner, from a host that owns no executor
+# of the pool: one runs and one waits in the owner's fair queue. Further requests wait
+# at the forwarding host, so that a burst of one caller does not fill the owner's queue.
+MAX_FORWARDS_PER_SLOT = 2
+LIVENESS_CHECK_INTERVAL_S = 0.25
+PEER_QUERY_TIMEOUT_S = 1.0
 REPLY_MARGIN_S = 1.0
 GRANTED = "granted"
 
 
 class Failed(Enum):
-    """Why an attempt has no answer."""
+    """How an attempt failed: it certainly did not run, or its result is lost."""
 
     NOT_RUN = "not run"
     LOST = "lost"
 
 
 class _Credit(NamedTuple):
-    """Free slots of a peer, less what was sent to it since it told them."""
+    """Free slots that a peer reported, less the requests sent to it since.
+
+    :param until_s: loop time at which the count expires
+    """
 
     free: int
     until_s: float
 
 
 class PeerSlots:
-    """Free slots at other entry hosts of this data centre."""
+    """Selects peers of this data centre for forwards by their free slots."""
 
     def __init__(
         self,
@@ -76,23 +80,25 @@
         self._slots = slots
         self._rng = rng
         self._credits: dict[tuple[str, str], _Credit] = {}
-        self._avoided_until_s: dict[tuple[str, str], float] = {}
-        self._open: Counter[tuple[str, str, Place]] = Counter()
+        self._backoff_until_s: dict[tuple[str, str], float] = {}
+        self._open_forwards: Counter[tuple[str, str, QueueKey]] = Counter()
 
-    def hear(self, host: str, free_slots: dict[str, int]) -> None:
-        """Take over the counts of a heartbeat."""
-        until_s = asyncio.get_running_loop().time() + CREDIT_TERM_S
+    def update(self, host: str, free_slots: dict[str, int]) -> None:
+        """Store the free slots by pool that a peer's heartbeat reported."""
+        until_s = asyncio.get_running_loop().time() + CREDIT_TTL_S
         for pool, free in free_slots.items():
             self._credits[pool, host] = _Credit(free, until_s)
             if free > 0:
-                self._avoided_until_s.pop((pool, host), None)
+                self._backoff_until_s.pop((pool, host), None)
 
-    def pick(self, pool: str, place: Place) -> str | None:
-        """Return a peer to which one request can go now, and count it as open.
+    def select(self, pool: str, queue_key: QueueKey) -> str | None:
+        """Return a peer for one request and count the request as open.
 
-        That is a peer with a free slot. A host that owns no executor of the pool
-        also picks owners without one, up to a limit of open requests; they wait
-        in the owner's fair queue.
+        The peer with the most free slots is preferred. A host that owns no executor
+        of the pool also selects owners without a free slot, up to a limit of open
+        forwards; these requests wait in the owner's fair queue.
+
+        :returns: the peer's name, or ``None`` if no peer can take the request
         """
         now = asyncio.get_running_loop().time()
         live = self._membership.entry_hosts(self._data_centre)
@@ -105,47 +111,50 @@
         elif self._slots.owns_any(pool):
             return None
         else:
-            best = self._pick_owner(pool, place, peers, now)
+            best = self._select_owner(pool, queue_key, peers, now)
         if best is not None:
-            self._open[pool, best, place] += 1
+            self._open_forwards[pool, best, queue_key] += 1
         return best
 
-    def ended(self, pool: str, host: str, place: Place) -> None:
-        """A request that :meth:`pick` sent to a peer has ended."""
-        self._open[pool, host, place] -= 1
-        if not self._open[pool, host, place]:
-            del self._open[pool, host, place]
+    def record_end(self, pool: str, host: str, queue_key: QueueKey) -> None:
+        """Record that a request for which :meth:`select` chose the peer has ended."""
+        self._open_forwards[pool, host, queue_key] -= 1
+        if not self._open_forwards[pool, host, queue_key]:
+            del self._open_forwards[pool, host, queue_key]
+
+    def record_refusal(self, pool: str, host: str) -> None:
+        """Record that a peer did not run a request.
 
-    def refused(self, pool: str, host: str) -> None:
-        """A peer did not run a request; prefer others until its next heartbeat."""
+        Other peers are preferred until its next heartbeat.
+        """
         now = asyncio.get_running_loop().time()
-        self._credits[pool, host] = _Credit(0, now + CREDIT_TERM_S)
-        self._avoided_until_s[pool, host] = now + AVOID_S
+        self._credits[pool, host] = _Credit(0, now + CREDIT_TTL_S)
+        self._backoff_until_s[pool, host] = now + REFUSAL_BACKOFF_S
 
     def _free(self, pool: str, host: str, now: float) -> int:
         credit = self._credits.get((pool, host))
         return credit.free if credit is not None and credit.until_s > now else 0
 
-    def _pick_owner(
-        self, pool: str, place: Place, peers: list[str], now: float
+    def _select_owner(
+        self, pool: str, queue_key: QueueKey, peers: list[str], now: float
     ) -> str | None:
-        owners = self._slots.owners(pool)
-        per_executor = FORWARDS_PER_SLOT * SLOTS_PER_EXECUTOR
-        open_to = [
+        owners = self._slots.executor_counts(pool)
+        per_executor = MAX_FORWARDS_PER_SLOT * SLOTS_PER_EXECUTOR
+        candidates = [
             host
             for host in peers
             if host in owners
-            and self._avoided_until_s.get((pool, host), 0.0) <= now
-            and self._open[pool, host, place] < per_executor * owners[host]
+            and self._backoff_until_s.get((pool, host), 0.0) <= now
+            and self._open_forwards[pool, host, queue_key] < per_executor * owners[host]
         ]
-        if not open_to:
+        if not candidates:
             return None
-        counts = [owners[host] for host in open_to]
-        return self._rng.choices(open_to, counts)[0]
+        counts = [owners[host] for host in candidates]
+        return self._rng.choices(candidates, counts)[0]
 
 
 class Forwarder:
-    """Sends requests to owners and answers their questions for grants."""
+    """Sends forwards, grant requests and status queries to other entry hosts."""
 
     def __init__(
         self, data_centre: str, peers: PeerCalls, membership: MembershipView
@@ -154,7 +163,7 @@
         self._peers = peers
         self._membership = membership
 
-    async def run_at(
+    async def forward(
         self,
         host: str,
         call: RequestCall,
@@ -164,22 +173,23 @@
         *,
         idempotent: bool,
     ) -> Outcome | Failed:
-        """Run a request at its owner.
+        """Run a request at an owner.
 
-        :param wait_s: how long it may wait there for a slot
-        :param timeout_s: how long it may run there
-        :param idempotent: whether to give up early on an owner that vanished
+        :param wait_s: maximum wait for a slot at the owner
+        :param timeout_s: maximum run time at the owner
+        :param idempotent: whether a granted run may be abandoned as soon as its
+            owner has failed, because the request may be retried
         """
-        forward = record.open_forward(host)
-        message = ForwardRequest(call, forward, wait_s)
+        forward_id = record.open_forward(host)
+        message = ForwardRequest(call, forward_id, wait_s)
         reply_s = wait_s + timeout_s + REPLY_MARGIN_S
         task = asyncio.ensure_future(self._call(host, message, reply_s))
         try:
             while not task.done():
-                await asyncio.wait({task}, timeout=WATCH_S)
-                if not record.run and self._hopeless(host, record):
+                await asyncio.wait({task}, timeout=LIVENESS_CHECK_INTERVAL_S)
+                if not record.run and self._should_cancel(host, record):
                     break
-                if record.run and idempotent and self._vanished(host):
+                if record.run and idempotent and self._has_failed(host):
                     break
         finally:
             record.end_forward()
@@ -187,10 +197,10 @@
         task.cancel()
         return _judge(record, host, reply)
 
-    async def ask_grant(self, host: str, run: str, client_account: str) -> bool:
-        """Ask the first entry host whether the copy ``run`` may run now."""
+    async def request_grant(self, host: str, run: str, client_account: str) -> bool:
+        """Ask the originating entry host for a grant; return whether it was given."""
         ask = RequestStatusAsk(run, client_account)
-        reply = await self._call(host, ask, GRANT_TIMEOUT_S)
+        reply = await self._call(host, ask, PEER_QUERY_TIMEOUT_S)
         return (
             isinstance(reply, RequestStatusReply)
             and reply.handle == run
@@ -198,12 +208,15 @@
             and reply.outcome.detail == GRANTED
         )
 
-    async def ask_status(
+    async def query_status(
         self, host: str, handle: str, client_account: str
     ) -> Outcome | None:
-        """Return what another entry host knows about a handle or run id."""
+        """Return the outcome that another entry host knows for a handle or run id.
+
+        :returns: the outcome, or ``None`` if the host does not answer or know it
+        """
         ask = RequestStatusAsk(handle, client_account)
-        reply = await self._call(host, ask, GRANT_TIMEOUT_S)
+        reply = await self._call(host, ask, PEER_QUERY_TIMEOUT_S)
         if not isinstance(reply, RequestStatusReply) or reply.handle != handle:
             return None
         return reply.outcome
@@ -216,32 +229,34 @@
         except (PeerUnsent, PeerTimeout):
             return None
 
-    def _hopeless(self, host: str, record: RequestRecord) -> bool:
+    def _should_cancel(self, host: str, record: RequestRecord) -> bool:
         live = self._membership.entry_hosts(self._data_centre)
         return record.closed or host not in live
 
-    def _vanished(self, host: str) -> bool:
+    def _has_failed(self, host: str) -> bool:
         live = self._membership.entry_hosts(self._data_centre)
         return host not in live and not self._membership.is_leaving(host)
 
 
-def answer_grant(record: RequestRecord, forward: str, run: str, host: str) -> Outcome:
-    """Return the answer to an owner that asks for a grant."""
-    if record.grant_forward(forward, run, host):
+def answer_grant_request(
+    record: RequestRecord, forward_id: str, run: str, host: str
+) -> Outcome:
+    """Return the reply to an owner's grant request."""
+    if record.grant_forward(forward_id, run, host):
         return Outcome("unknown", detail=GRANTED)
     return Outcome("not_run", detail="no longer to be run")
 
 
-def new_run(forward: str, new_id: Callable[[], str]) -> str:
-    """Return the id of a new copy of a forward."""
-    return run_id(forward, new_id())
+def new_run_id(forward_id: str, new_id: Callable[[], str]) -> str:
+    """Return a new run id for a forward."""
+    return make_run_id(forward_id, new_id())
 
 
 def _judge(record: RequestRecord, host: str, reply: Message | None) -> Outcome | Failed:
-    """Return what is certain after a forward ended.
+    """Return the result of a forward that has ended.
 
-    Only the copy that holds the grant can tell anything; without a grant nothing
-    ran, whatever the reply says.
+    Only the reply of the run that holds the grant counts. If no grant was given,
+    nothing ran, whatever the reply says.
     """
     run = record.run
     if not run:
@@ -250,7 +265,7 @@
         record.lose(run, host)
         return Failed.LOST
     if reply.outcome.status == "not_run":
-        record.take_back(run)
+        record.record_not_run(run)
         return Failed.NOT_RUN
     if reply.outcome.status == "unknown":
         record.lose(run, host)
--- a/libs/requests/src/bilberryhitch_requests/handles.py
+++ b/libs/requests/src/bilberryhitch_requests/handles.py
@@ -1,23 +1,23 @@
-"""Handles of requests and the ids of their forwarded copies.
+"""Request handles, and the ids of forwards and of their runs.
 
-A handle is ``<data_centre>.<host>.<incarnation>.<unique>``. A forward adds
-``~<number>``, and the run of a forwarded copy adds ``~<nonce>`` of its owner.
+A handle is ``<data_centre>.<host>.<incarnation>.<unique>``. A forward id appends
+``~<number>`` to it, and the run id at the owner appends ``~<nonce>`` to that.
 """
 
 from typing import NamedTuple
 
 from bilberryhitch_model import Identity
 
-HANDLE_PARTS = 4
-FORWARD_MARK = "~"
-# The first letter of the unique part tells whether a row may exist under the
-# handle, so that questions about unkeyed requests cost no store read.
-KEYED_MARK = "k"
-UNKEYED_MARK = "u"
+HANDLE_PART_COUNT = 4
+FORWARD_SEPARATOR = "~"
+# The first letter of the unique part tells whether the handle may have an outcome row,
+# so that status queries for requests without a key need no store read.
+KEYED_PREFIX = "k"
+UNKEYED_PREFIX = "u"
 
 
 class Handle(NamedTuple):
-    """The parts of a handle."""
+    """A parsed handle."""
 
     data_centre: str
     host: str
@@ -27,10 +27,10 @@
     @property
     def keyed(self) -> bool:
         """Whether the request had an idempotency key."""
-        return self.unique.startswith(KEYED_MARK)
+        return self.unique.startswith(KEYED_PREFIX)
 
     def belongs_to(self, identity: Identity) -> bool:
-        """Return whether this run of this host made the handle."""
+        """Return whether the process with this identity made the handle."""
         return self[:3] == (
             identity.data_centre,
             identity.host,
@@ -39,32 +39,32 @@
 
 
 def make_handle(identity: Identity, unique: str, *, keyed: bool) -> str:
-    """Return a new handle."""
-    mark = KEYED_MARK if keyed else UNKEYED_MARK
+    """Return a handle for a request of the process with this identity."""
+    mark = KEYED_PREFIX if keyed else UNKEYED_PREFIX
     start = (identity.data_centre, identity.host, identity.incarnation)
     return ".".join((*start, mark + unique))
 
 
 def parse_handle(text: str) -> Handle | None:
-    """Return the parts, or ``None`` when the text is no handle."""
+    """Return the parsed handle, or ``None`` if the text is not a handle."""
     parts = text.split(".")
-    if len(parts) != HANDLE_PARTS or not all(parts) or FORWARD_MARK in text:
+    if len(parts) != HANDLE_PART_COUNT or not all(parts) or FORWARD_SEPARATOR in text:
         return None
     return Handle(*parts)
 
 
-def forward_id(handle: str, number: int) -> str:
+def make_forward_id(handle: str, number: int) -> str:
     """Return the id of the numbered forward of a request."""
-    return f"{handle}{FORWARD_MARK}{number}"
+    return f"{handle}{FORWARD_SEPARATOR}{number}"
 
 
-def run_id(forward: str, nonce: str) -> str:
-    """Return the id of one copy of a forward at its owner."""
-    return f"{forward}{FORWARD_MARK}{nonce}"
+def make_run_id(forward_id: str, nonce: str) -> str:
+    """Return the id of a run of a forward at its owner."""
+    return f"{forward_id}{FORWARD_SEPARATOR}{nonce}"
 
 
 def split_run_id(run: str) -> tuple[str, str]:
-    """Return handle and forward id of a run id; empty when it is none."""
-    forward, _, nonce = run.rpartition(FORWARD_MARK)
-    handle, _, number = forward.rpartition(FORWARD_MARK)
-    return (handle, forward) if nonce and number else ("", "")
+    """Return the handle and the forward id of a run id, or two empty strings."""
+    forward_id, _, nonce = run.rpartition(FORWARD_SEPARATOR)
+    handle, _, number = forward_id.rpartition(FORWARD_SEPARATOR)
+    return (handle, forward_id) if nonce and number else ("", "")
--- a/libs/requests/src/bilberryhitch_requests/ports.py
+++ b/libs/requests/src/bilberryhitch_requests/interfaces.py
@@ -1,4 +1,4 @@
-"""What the request path needs of the other libraries."""
+"""Interfaces that the request path requires from the other libraries."""
 
 from typing import Protocol
 
@@ -7,21 +7,21 @@
 
 
 class ConfigView(Protocol):
-    """The configuration in force."""
+    """Read access to the current configuration."""
 
     @property
     def tables_view(self) -> Tables:
-        """Routes and pools now in force."""
+        """The current routes and pools."""
 
 
 class MembershipView(Protocol):
-    """Live and leaving hosts, as far as this process knows."""
+    """Read access to this process's view of live and leaving hosts."""
 
     def entry_hosts(self, data_centre: str) -> list[str]:
-        """Return live entry hosts that are not leaving, sorted."""
+        """Return the live entry hosts that are not leaving, sorted by name."""
 
     def endpoints(self, kind: str, data_centre: str) -> list[Host]:
-        """Return endpoint hosts usable for new work."""
+        """Return the executors or workers that may receive new work."""
 
     def is_leaving(self, host: str) -> bool:
         """Return whether the host is leaving."""
@@ -31,8 +31,8 @@
     """Calls to other entry hosts."""
 
     async def call(self, host: str, message: Message, timeout_s: float) -> Message:
-        """Send a message and return its answer.
+        """Send a message and return the reply.
 
-        :raises PeerUnsent: the peer never sees the message
-        :raises PeerTimeout: the peer may have seen it
+        :raises PeerUnsent: the message was not sent and the peer will not get it
+        :raises PeerTimeout: no reply came in time; the peer may have got the message
         """
--- a/libs/requests/src/bilberryhitch_requests/keyed.py
+++ b/libs/requests/src/bilberryhitch_requests/keyed.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key: claim, run, and record the outcome."""
+"""Requests with an idempotency key: claims the key, runs, writes the outcome."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -13,20 +13,24 @@
 )
 from expression import Result
 
-from .claims import Claim, ClaimRow, Claims, body_digest
+from .claims import Claim, ClaimRow, Claims, request_digest
 from .outcomes import RequestRecord
 
-# How long an answer "not run" waits for its key to become free again.
-RELEASE_S = 0.5
-# An idempotent route does not wait longer for a slow store before it runs.
-CLAIM_S = 2.0
+# A "not run" answer waits this long for the release of its key, so that the caller can
+# use the key again.
+RELEASE_TIMEOUT_S = 0.5
+# A request of an idempotent route runs without its claim if the store is slower.
+CLAIM_TIMEOUT_S = 2.0
 
 
 class KeyedRequests:
-    """Runs a keyed request only under its claim.
+    """Runs requests that have an idempotency key.
 
-    :param spawn: runs work that the caller need not wait for
-    :param known_outcome: asks the process that made a handle
+    A request of a route that is not idempotent runs only if its key was claimed.
+
+    :param spawn: starts a background task
+    :param known_outcome: returns the outcome for a handle and a client account from
+        the process that made the handle
     """
 
     def __init__(
@@ -46,12 +50,15 @@
         record: RequestRecord,
         run: Callable[[], Awaitable[Outcome]],
     ) -> None:
-        """Finish the record with this call's outcome, or the first call's."""
+        """Finish the record with the outcome of this call or of the first one.
+
+        The first call is the one that holds the claim of the idempotency key.
+        """
         claiming = self._spawn(self._claims.claim(call, record.handle))
         if route.idempotent:
-            await asyncio.wait({claiming}, timeout=CLAIM_S)
+            await asyncio.wait({claiming}, timeout=CLAIM_TIMEOUT_S)
             if not claiming.done():
-                self._spawn(self._end_late_claim(claiming, record))
+                self._spawn(self._finish_late_claim(claiming, record))
                 record.finish(await run())
                 return
         try:
@@ -60,7 +67,7 @@
             await self._serve_unclaimed(call, route, record, run, error)
             return
         if result.is_error():
-            await self._answer_from(result.error, call, record)
+            await self._answer_from_claim(result.error, call, record)
             return
         await self._serve_claimed(result.ok, record, run)
 
@@ -70,26 +77,26 @@
         outcome = await run()
         if outcome.status == "not_run":
             release = self._spawn(self._claims.release(claim))
-            await asyncio.wait({release}, timeout=RELEASE_S)
+            await asyncio.wait({release}, timeout=RELEASE_TIMEOUT_S)
         record.finish(outcome)
-        if outcome.status != "not_run" and record.settled:
-            await self._claims.settle(claim, record.answer())
+        if outcome.status != "not_run" and record.is_final:
+            await self._claims.write_outcome(claim, record.current_outcome())
 
-    async def _end_late_claim(
+    async def _finish_late_claim(
         self, claiming: "asyncio.Task[Result[Claim, ClaimRow]]", record: RequestRecord
     ) -> None:
-        """Record the outcome under a claim that came after the run had begun."""
+        """Write the outcome under a claim that was made after the run had begun."""
         try:
             result = await claiming
         except StoreError:
             return
         await record.done.wait()
-        if result.is_error() or not record.settled:
+        if result.is_error() or not record.is_final:
             return
-        if record.answer().status == "not_run":
+        if record.current_outcome().status == "not_run":
             await self._claims.release(result.ok)
             return
-        await self._claims.settle(result.ok, record.answer())
+        await self._claims.write_outcome(result.ok, record.current_outcome())
 
     async def _serve_unclaimed(
         self,
@@ -99,21 +106,21 @@
         run: Callable[[], Awaitable[Outcome]],
         error: StoreError,
     ) -> None:
-        """Without the store only idempotent routes are served."""
+        """Run a request of an idempotent route without a claim; reject others."""
         if route.idempotent:
             record.finish(await run())
             return
         record.close("the key cannot be claimed now")
         if isinstance(error, StoreAnswerLost):
             operation_id = error.operation_id
-            await self._claims.resolve(call, record.handle, operation_id)
+            await self._claims.remove_unresolved(call, record.handle, operation_id)
 
-    async def _answer_from(
+    async def _answer_from_claim(
         self, first: ClaimRow, call: RequestCall, record: RequestRecord
     ) -> None:
-        """Answer a retry with the outcome of the first call under the key."""
-        if first.digest != body_digest(call):
-            record.refuse(
+        """Answer a repeated call with the outcome of the first call with its key."""
+        if first.digest != request_digest(call):
+            record.reject(
                 BadInput("Idempotency-Key", call.key, "belongs to another request")
             )
             return
@@ -121,7 +128,7 @@
 
     async def _first_outcome(self, handle: str, client_account: str) -> Outcome:
         try:
-            row = await self._claims.outcome(handle)
+            row = await self._claims.read_outcome(handle)
         except StoreUnavailable:
             row = None
         if row is not None:
--- a/libs/requests/src/bilberryhitch_requests/outcomes.py
+++ b/libs/requests/src/bilberryhitch_requests/outcomes.py
@@ -1,4 +1,4 @@
-"""Requests of this process and their outcomes, in bounded memory."""
+"""Records of the requests of this process and their outcomes, in bounded memory."""
 
 import asyncio
 from collections import OrderedDict
@@ -7,25 +7,29 @@
 from bilberryhitch_model import Outcome
 from bilberryhitch_model.errors import BadInput
 
-from .handles import forward_id
+from .handles import make_forward_id
 
 MAX_RECORDS = 10_000
-MAX_BODY_BYTES = 67_108_864
+MAX_RETAINED_BODY_BYTES = 67_108_864
 NOT_FINISHED = "not finished"
 RETRY_AFTER_S = 1.0
 
 
 class RequestRecord:
-    """Whether one request may run, may have run, and how it ended.
-
-    A run needs a grant. There is at most one at a time, and none after
-    :meth:`close` or :meth:`finish`; so a request that was closed without a grant
-    certainly never runs.
-
-    :ivar done: set once there is an outcome
-    :ivar may_have_run: an attempt was lost after it may have begun
-    :ivar run: id of the granted attempt, or empty
-    :ivar error: refusal of the input; then there is no outcome
+    """State of one request: its granted run, its lost runs and its outcome.
+
+    A run requires a grant. There is at most one grant at a time, and none is given
+    after :meth:`close` or :meth:`finish`. A request that is closed without a grant
+    therefore never runs.
+
+    :ivar done: set once there is an outcome or an error
+    :ivar may_have_run: whether the result of a run was lost
+    :ivar run: id of the granted run, or empty
+    :ivar closed: whether further runs are forbidden
+    :ivar error: why the input was rejected; there is no outcome then
+    :ivar lost_run: entry host and id of a forwarded run whose result was lost
+    :ivar on_close: called by :meth:`close`
+    :ivar on_finish: called with the record when an outcome is set
     """
 
     def __init__(self, handle: str, client_account: str) -> None:
@@ -37,83 +41,95 @@
         self.run = ""
         self.closed = False
         self.error: BadInput | None = None
-        self.lost_at: tuple[str, str] | None = None
+        self.lost_run: tuple[str, str] | None = None
         self.on_close: Callable[[], None] | None = None
         self.on_finish: Callable[[RequestRecord], None] | None = None
-        self._forwards = 0
-        self._forward = ("", "")
+        self._forward_count = 0
+        self._current_forward = ("", "")
 
     @property
-    def settled(self) -> bool:
+    def is_final(self) -> bool:
         """Whether the outcome is final."""
         return self.outcome is not None and self.outcome.status != "unknown"
 
     def grant(self, run: str) -> bool:
-        """Allow the attempt ``run``, unless another is allowed or it is too late."""
+        """Grant a run unless another one holds the grant or the record is closed.
+
+        :returns: whether the run holds the grant and may proceed
+        """
         if self.run == run:
-            return not self.settled
+            return not self.is_final
         if self.run or self.closed or self.outcome is not None:
             return False
         self.run = run
         return True
 
     def open_forward(self, host: str) -> str:
-        """Return the id of a new forward; only its copy can get the grant."""
-        self._forwards += 1
-        self._forward = (forward_id(self.handle, self._forwards), host)
-        return self._forward[0]
+        """Start a forward to a host and return its id.
 
-    def grant_forward(self, forward: str, run: str, host: str) -> bool:
-        """Allow a copy of the open forward to run at its owner."""
-        return self._forward == (forward, host) and self.grant(run)
+        Only a run of this forward can get the grant by :meth:`grant_forward`.
+        """
+        self._forward_count += 1
+        self._current_forward = (
+            make_forward_id(self.handle, self._forward_count),
+            host,
+        )
+        return self._current_forward[0]
+
+    def grant_forward(self, forward_id: str, run: str, host: str) -> bool:
+        """Grant a run of the current forward at its owner."""
+        return self._current_forward == (forward_id, host) and self.grant(run)
 
     def end_forward(self) -> None:
-        """Let no copy of the open forward get the grant any more."""
-        self._forward = ("", "")
+        """End the current forward, so that none of its runs can get a grant."""
+        self._current_forward = ("", "")
 
-    def take_back(self, run: str) -> None:
-        """The granted attempt certainly did not run."""
+    def record_not_run(self, run: str) -> None:
+        """Record that the granted run did not take place; frees the grant."""
         if self.run == run:
             self.run = ""
 
     def lose(self, run: str, host: str = "") -> None:
-        """The granted attempt may have run; no answer came.
+        """Record that the result of the granted run was lost; frees the grant.
 
-        :param host: the entry host that may learn its outcome
+        :param host: entry host that may know the outcome later; empty if this one
         """
         if not run or self.run != run:
             return
         self.run = ""
         self.may_have_run = True
         if host:
-            self.lost_at = (host, run)
+            self.lost_run = (host, run)
 
-    def refuse(self, error: BadInput) -> None:
-        """End the request because its input breaks a rule."""
+    def reject(self, error: BadInput) -> None:
+        """End the request because its input is invalid."""
         self.closed = True
         self.error = error
         self.done.set()
 
     def close(self, reason: str, retry_after_s: float = RETRY_AFTER_S) -> None:
-        """Allow no further attempt; without a running one this is the end."""
+        """Forbid further runs and finish the request unless a run is in progress."""
         self.closed = True
         if self.on_close is not None:
             self.on_close()
         if self.run or self.outcome is not None or self.error is not None:
             return
-        self.finish(self.without_answer(reason, retry_after_s))
+        self.finish(self.outcome_without_answer(reason, retry_after_s))
 
-    def without_answer(
+    def outcome_without_answer(
         self, reason: str, retry_after_s: float = RETRY_AFTER_S
     ) -> Outcome:
-        """Return the truth about a request that has no answer and no attempt."""
+        """Return the outcome of a request without an answer or a run in progress.
+
+        :returns: ``unknown`` if the request may have run, otherwise ``not_run``
+        """
         if self.may_have_run:
             return Outcome("unknown", detail=reason, handle=self.handle)
         return Outcome("not_run", detail=reason, retry_after_s=retry_after_s)
 
     def finish(self, outcome: Outcome) -> None:
-        """Set the outcome; only ``unknown`` can be replaced later."""
-        if self.settled or self.error is not None:
+        """Set the outcome; an ``unknown`` outcome can be replaced later."""
+        if self.is_final or self.error is not None:
             return
         self.closed = True
         self.outcome = outcome
@@ -121,22 +137,24 @@
         if self.on_finish is not None:
             self.on_finish(self)
 
-    def answer(self) -> Outcome:
-        """Return the outcome, or ``unknown`` while an attempt runs."""
+    def current_outcome(self) -> Outcome:
+        """Return the outcome, or ``unknown`` if there is none yet."""
         if self.outcome is not None:
             return self.outcome
         return Outcome("unknown", detail=NOT_FINISHED, handle=self.handle)
 
 
-class Outcomes:
-    """Records by id; the oldest finished ones are dropped first.
+class RequestRecords:
+    """Records by id; evicts the oldest finished records beyond its limits.
 
-    :param max_records: records kept, beside those that are not finished
-    :param max_body_bytes: bytes of answers kept
+    :param max_records: limit of finished records; unfinished ones are not limited
+    :param max_body_bytes: limit of the bodies of finished records, in bytes
     """
 
     def __init__(
-        self, max_records: int = MAX_RECORDS, max_body_bytes: int = MAX_BODY_BYTES
+        self,
+        max_records: int = MAX_RECORDS,
+        max_body_bytes: int = MAX_RETAINED_BODY_BYTES,
     ) -> None:
         self._max_records = max_records
         self._max_body_bytes = max_body_bytes
@@ -148,25 +166,25 @@
         return len(self._records)
 
     def open(self, record_id: str, client_account: str) -> RequestRecord:
-        """Return a new record that has not finished."""
+        """Create and return the record of a new request."""
         record = RequestRecord(record_id, client_account)
-        record.on_finish = self._note_finished
+        record.on_finish = self._evict_finished
         self._records[record_id] = record
         return record
 
     def get(self, record_id: str) -> RequestRecord | None:
-        """Return the record, or ``None`` when it is unknown or was dropped."""
+        """Return the record, or ``None`` if it does not exist or was evicted."""
         return self._records.get(record_id)
 
     def drop(self, record_id: str) -> None:
-        """Forget a record."""
+        """Remove a record."""
         self._records.pop(record_id, None)
         self._body_bytes -= self._finished.pop(record_id, 0)
 
-    def _note_finished(self, record: RequestRecord) -> None:
+    def _evict_finished(self, record: RequestRecord) -> None:
         if record.handle not in self._records:
             return
-        size = len(record.answer().body)
+        size = len(record.current_outcome().body)
         self._body_bytes += size - self._finished.pop(record.handle, 0)
         self._finished[record.handle] = size
         while self._finished and (
--- a/libs/requests/src/bilberryhitch_requests/reporting.py
+++ b/libs/requests/src/bilberryhitch_requests/reporting.py
@@ -1,11 +1,11 @@
-"""Log events and metrics of requests."""
+"""Log events and metrics for requests."""
 
 from bilberryhitch_model import Outcome, RequestCall, Route
 from bilberryhitch_telemetry import events, log, metrics
 
 
 def report_outcome(call: RequestCall, outcome: Outcome, seconds: float) -> None:
-    """Count an answer; log what a caller may ask an operator about."""
+    """Record the metrics of an outcome; log it if it is ``not_run`` or ``unknown``."""
     labels = {"route": call.route, "outcome": outcome.status}
     metrics.REQUESTS.add(1, labels)
     metrics.REQUEST_SECONDS.record(seconds, labels)
@@ -27,6 +27,6 @@
 
 
 def report_retry(call: RequestCall, route: Route, handle: str) -> None:
-    """Count and log that an idempotent request is sent again."""
+    """Count and log a retry of an idempotent request."""
     metrics.REQUEST_RETRIES.add(1, {"route": route.name})
     log(events.REQUEST_RETRIED, route=call.route, handle=handle)
--- a/libs/requests/src/bilberryhitch_requests/retries.py
+++ b/libs/requests/src/bilberryhitch_requests/retries.py
@@ -1,40 +1,43 @@
-"""Retries of idempotent requests: a budget per client account and back-off."""
+"""Retry budgets per client account and backoff for idempotent requests."""
 
 import random
 
-RETRY_SHARE = 0.1
+RETRY_RATIO = 0.1
 MAX_TOKENS = 100.0
-# Lets the first failure of a small account be retried; afterwards the share rules.
-FIRST_TOKENS = 1.0
-BACK_OFF_S = 0.05
-MAX_BACK_OFF_S = 2.0
+# Allows an account with few requests one retry before it has earned a token.
+INITIAL_TOKENS = 1.0
+BACKOFF_BASE_S = 0.05
+MAX_BACKOFF_S = 2.0
 
 
 class RetryBudgets:
-    """Retries that each client account may spend.
+    """Token buckets that limit retries per client account.
 
-    :param share: retries allowed per request
+    :param share: tokens earned per request; a retry costs one token
     """
 
-    def __init__(self, rng: random.Random, share: float = RETRY_SHARE) -> None:
+    def __init__(self, rng: random.Random, share: float = RETRY_RATIO) -> None:
         self._rng = rng
-        self._share = share
+        self._ratio = share
         self._tokens: dict[str, float] = {}
 
-    def note_request(self, client_account: str) -> None:
-        """Count one request of the account."""
-        tokens = self._tokens.get(client_account, FIRST_TOKENS) + self._share
+    def record_request(self, client_account: str) -> None:
+        """Add the tokens earned by one request of the account."""
+        tokens = self._tokens.get(client_account, INITIAL_TOKENS) + self._ratio
         self._tokens[client_account] = min(tokens, MAX_TOKENS)
 
-    def take(self, client_account: str) -> bool:
-        """Spend one retry; return whether the budget allows it."""
-        tokens = self._tokens.get(client_account, FIRST_TOKENS)
+    def try_spend(self, client_account: str) -> bool:
+        """Spend one token; return ``False`` if the account has none."""
+        tokens = self._tokens.get(client_account, INITIAL_TOKENS)
         if tokens < 1.0:
             return False
         self._tokens[client_account] = tokens - 1.0
         return True
 
-    def delay_s(self, failures: int) -> float:
-        """Return the full-jitter back-off after ``failures`` failures, from 1."""
-        longest: float = min(MAX_BACK_OFF_S, BACK_OFF_S * 2 ** min(failures, 10))
+    def backoff_s(self, failures: int) -> float:
+        """Return the full-jitter exponential backoff before a retry, in seconds.
+
+        :param failures: failed attempts so far, at least 1
+        """
+        longest: float = min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2 ** min(failures, 10))
         return self._rng.uniform(0.0, longest)
--- a/libs/requests/src/bilberryhitch_requests/running.py
+++ b/libs/requests/src/bilberryhitch_requests/running.py
@@ -1,4 +1,4 @@
-"""Attempts of one request: wait for a slot, run here or at its owner, retry."""
+"""Runs a request: waits for a slot, attempts it here or at a peer, retries."""
 
 import asyncio
 import random
@@ -8,22 +8,22 @@
 
 from .dispatch import Dispatcher
 from .forwarding import Failed, Forwarder, PeerSlots
+from .interfaces import ConfigView
 from .outcomes import RequestRecord
-from .places import place_of
-from .ports import ConfigView
+from .queue_key import queue_key_of
 from .reporting import report_retry
 from .retries import RetryBudgets
-from .slots import Lease
-from .waiting import PeerTarget, Refusal, Target, Ticket, WaitingRequests
+from .slots import SlotLease
+from .waiting import Assignment, NoSlot, PeerTarget, QueuedRequest, RequestQueue
 
-# Spreads requests that a full executor or peer sent back.
-REQUEUE_S = 0.05
+# Jitter that spreads the retries of requests refused by a full executor or peer.
+MAX_REQUEUE_DELAY_S = 0.05
 
 
 class RequestRunner:
-    """Runs requests of this host's own callers.
+    """Runs the requests that callers submitted to this host.
 
-    :param waiting_for: returns the waiting requests of a pool
+    :param queue_for: returns the request queue of a pool
     """
 
     def __init__(
@@ -33,80 +33,82 @@
         forwarder: Forwarder,
         *,
         peer_slots: PeerSlots,
-        waiting_for: Callable[[Pool], WaitingRequests],
+        queue_for: Callable[[Pool], RequestQueue],
         rng: random.Random,
     ) -> None:
         self._config = config
         self._dispatcher = dispatcher
         self._forwarder = forwarder
         self._peer_slots = peer_slots
-        self._waiting_for = waiting_for
+        self._queue_for = queue_for
         self._rng = rng
         self._budgets = RetryBudgets(rng)
 
     async def run(
         self, call: RequestCall, route: Route, record: RequestRecord
     ) -> Outcome:
-        """Make attempts until there is an answer or no further one is allowed."""
-        self._budgets.note_request(call.client_account)
+        """Make attempts until one has an outcome or no further one is allowed."""
+        self._budgets.record_request(call.client_account)
         failures = 0
         until_s = asyncio.get_running_loop().time() + route.timeout_s
         while not record.closed:
             row = self._config.tables_view.pools.get(route.pool)
             if row is None:
-                return record.without_answer("no such pool")
-            waiting = self._waiting_for(row)
-            target = await _place(call, route, record, waiting)
-            if isinstance(target, Refusal):
-                return record.without_answer(target.reason, target.retry_after_s)
+                return record.outcome_without_answer("no such pool")
+            queue = self._queue_for(row)
+            assignment = await _wait_for_slot(call, route, record, queue)
+            if isinstance(assignment, NoSlot):
+                return record.outcome_without_answer(
+                    assignment.reason, assignment.retry_after_s
+                )
             result = await self._attempt(
-                target, call, route, record, waiting, until_s=until_s
+                assignment, call, route, record, queue, until_s=until_s
             )
             if isinstance(result, Outcome):
                 return result
             if result is Failed.NOT_RUN:
-                await asyncio.sleep(self._rng.uniform(0.0, REQUEUE_S))
+                await asyncio.sleep(self._rng.uniform(0.0, MAX_REQUEUE_DELAY_S))
                 continue
             failures += 1
-            if not route.idempotent or not self._budgets.take(call.client_account):
+            if not route.idempotent or not self._budgets.try_spend(call.client_account):
                 break
             report_retry(call, route, record.handle)
-            await asyncio.sleep(self._budgets.delay_s(failures))
-        return record.without_answer("no answer")
+            await asyncio.sleep(self._budgets.backoff_s(failures))
+        return record.outcome_without_answer("no answer")
 
     async def _attempt(
         self,
-        target: Lease | PeerTarget,
+        assignment: SlotLease | PeerTarget,
         call: RequestCall,
         route: Route,
         record: RequestRecord,
-        waiting: WaitingRequests,
+        queue: RequestQueue,
         *,
         until_s: float,
     ) -> Outcome | Failed:
-        if isinstance(target, PeerTarget):
+        if isinstance(assignment, PeerTarget):
             wait_s = max(0.0, until_s - asyncio.get_running_loop().time())
             return await self._attempt_at_peer(
-                target, call, route, record, waiting, wait_s=wait_s
+                assignment, call, route, record, queue, wait_s=wait_s
             )
-        result = await self._dispatcher.attempt(target, call, route, record, waiting)
+        result = await self._dispatcher.attempt(assignment, call, route, record, queue)
         if result is Failed.NOT_RUN:
-            record.take_back(record.run)
+            record.record_not_run(record.run)
         return result
 
     async def _attempt_at_peer(
         self,
-        target: PeerTarget,
+        assignment: PeerTarget,
         call: RequestCall,
         route: Route,
         record: RequestRecord,
-        waiting: WaitingRequests,
+        queue: RequestQueue,
         *,
         wait_s: float,
     ) -> Outcome | Failed:
         try:
-            result = await self._forwarder.run_at(
-                target.host,
+            result = await self._forwarder.forward(
+                assignment.host,
                 call,
                 record,
                 wait_s,
@@ -114,20 +116,22 @@
                 idempotent=route.idempotent,
             )
         finally:
-            self._peer_slots.ended(route.pool, target.host, place_of(call, route))
-            waiting.pump()
+            self._peer_slots.record_end(
+                route.pool, assignment.host, queue_key_of(call, route)
+            )
+            queue.assign_slots()
         if result is Failed.NOT_RUN:
-            self._peer_slots.refused(route.pool, target.host)
+            self._peer_slots.record_refusal(route.pool, assignment.host)
         return result
 
 
-async def _place(
-    call: RequestCall, route: Route, record: RequestRecord, waiting: WaitingRequests
-) -> Target:
-    """Wait for a target; closing the record ends the wait."""
-    ticket = Ticket(place_of(call, route), may_forward=True)
-    record.on_close = lambda: waiting.withdraw(ticket, "timed out")
+async def _wait_for_slot(
+    call: RequestCall, route: Route, record: RequestRecord, queue: RequestQueue
+) -> Assignment:
+    """Queue the call and wait for its assignment; closing the record ends the wait."""
+    queued = QueuedRequest(queue_key_of(call, route), may_forward=True)
+    record.on_close = lambda: queue.withdraw(queued, "timed out")
     try:
-        return await waiting.wait(ticket)
+        return await queue.wait(queued)
     finally:
         record.on_close = None
--- a/libs/requests/src/bilberryhitch_requests/service.py
+++ b/libs/requests/src/bilberryhitch_requests/service.py
@@ -1,4 +1,4 @@
-"""The request path of an entry host: submit, status, peer messages, shutdown."""
+"""Request service of an entry host: submission, status, peer messages, shutdown."""
 
 import asyncio
 import random
@@ -20,31 +20,37 @@
 
 from .claims import Claims
 from .dispatch import Dispatcher
-from .enquiries import Enquiries
 from .executor_client import ExecutorClient
 from .forwarded import ForwardedRequests
 from .forwarding import Forwarder, PeerSlots
 from .handles import make_handle
+from .interfaces import ConfigView, MembershipView, PeerCalls
 from .keyed import KeyedRequests
-from .outcomes import MAX_RECORDS, Outcomes, RequestRecord
-from .ports import ConfigView, MembershipView, PeerCalls
+from .outcomes import MAX_RECORDS, RequestRecord, RequestRecords
 from .reporting import report_outcome
 from .running import RequestRunner
-from .slots import SLOTS_PER_EXECUTOR, ExecutorSlots, Owner
-from .waiting import WaitingRequests
+from .slots import SLOTS_PER_EXECUTOR, ExecutorSlots, SelectOwner
+from .status_lookup import StatusLookup
+from .waiting import RequestQueue
 
-TICK_S = 0.25
+MAINTENANCE_INTERVAL_S = 0.25
 MAX_QUEUED = 10_000
 PROBE_TIMEOUT_S = 1.0
 
 
 class RequestService:
-    """Takes requests of callers and answers each one truthfully.
+    """Accepts requests and returns an outcome for each of them.
 
-    :param owner: which entry host owns an executor
-    :param outcome_limit: finished requests remembered
-    :param queue_limit: most requests waiting for each pool in this process; a
-        pool's own ``max_queued`` may be lower
+    An outcome is ``not_run`` only if the request has not run and never will; where
+    that is not certain, it is ``unknown``.
+
+    :param now: returns the time in UTC seconds
+    :param new_id: returns a unique id
+    :param owner: selects the entry host that owns an executor
+    :param outcome_limit: number of finished requests whose outcomes are kept
+    :param queue_limit: maximum queue length per pool in this process; a pool's
+        ``max_queued`` may be lower
+    :param slots_per_executor: concurrent requests per executor
     """
 
     def __init__(
@@ -59,7 +65,7 @@
         now: Callable[[], float],
         new_id: Callable[[], str],
         rng: random.Random,
-        owner: Owner = rendezvous_owner,
+        owner: SelectOwner = rendezvous_owner,
         outcome_limit: int = MAX_RECORDS,
         queue_limit: int = MAX_QUEUED,
         slots_per_executor: int = SLOTS_PER_EXECUTOR,
@@ -73,7 +79,7 @@
             identity,
             config,
             membership,
-            released=self._pump,
+            on_release=self._assign_slots,
             owner=owner,
             slots_per_executor=slots_per_executor,
         )
@@ -82,53 +88,59 @@
         )
         self._dispatcher = Dispatcher(executors, self._slots, new_id=new_id)
         self._forwarder = Forwarder(identity.data_centre, peers, membership)
-        self._outcomes = Outcomes(outcome_limit)
+        self._outcomes = RequestRecords(outcome_limit)
         self._forwarded = ForwardedRequests(
-            self._forwarder, self._dispatcher, Outcomes(outcome_limit), new_id=new_id
+            self._forwarder,
+            self._dispatcher,
+            RequestRecords(outcome_limit),
+            new_id=new_id,
         )
         self._runner = RequestRunner(
             config,
             self._dispatcher,
             self._forwarder,
             peer_slots=self._peer_slots,
-            waiting_for=self._waiting_for,
+            queue_for=self._queue_for,
             rng=rng,
         )
         claims = Claims(tables, now=now, new_id=new_id)
-        self._enquiries = Enquiries(
+        self._status_lookup = StatusLookup(
             identity, self._outcomes, self._forwarded, self._forwarder, claims
         )
-        self._keyed = KeyedRequests(claims, self._spawn, self._enquiries.known_outcome)
-        self._waiting: dict[str, WaitingRequests] = {}
-        self._heard_usage: dict[str, dict[str, float]] = {}
+        self._keyed = KeyedRequests(
+            claims, self._spawn, self._status_lookup.known_outcome
+        )
+        self._queues: dict[str, RequestQueue] = {}
+        self._peer_usage: dict[str, dict[str, float]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._ticker: asyncio.Task[None] | None = None
+        self._maintenance_task: asyncio.Task[None] | None = None
         self._closing = False
 
     async def start(self) -> None:
-        """Begin to follow membership and to probe executors."""
+        """Start the periodic refresh of executors, their probes and the queues."""
         self._slots.refresh()
-        self._ticker = asyncio.create_task(self._tick())
+        self._maintenance_task = asyncio.create_task(self._run_maintenance())
 
     async def close(self) -> None:
-        """Refuse new work as not run and finish all that was accepted."""
+        """Reject new requests as ``not_run`` and finish the accepted ones."""
         self._closing = True
-        for waiting in self._waiting.values():
-            waiting.refuse_forwarded("shutting down")
+        for queue in self._queues.values():
+            queue.refuse_forwarded("shutting down")
         while self._tasks:
             await asyncio.wait(set(self._tasks))
-        if self._ticker is not None:
-            self._ticker.cancel()
-            await asyncio.wait({self._ticker})
-            self._ticker = None
+        if self._maintenance_task is not None:
+            self._maintenance_task.cancel()
+            await asyncio.wait({self._maintenance_task})
+            self._maintenance_task = None
 
     async def submit(self, call: RequestCall) -> Outcome:
-        """Run a request.
+        """Run a request and wait for its outcome.
 
-        :returns: the outcome; after the route's time-out, ``not_run`` if no
-            attempt was made and ``unknown`` with a handle otherwise
-        :raises BadInput: the body is too long, or the key belongs to another body
-        :raises NotFound: the account has no such request route
+        :returns: the outcome; after the route's timeout it is ``not_run`` if no
+            attempt was made and otherwise ``unknown`` with a handle
+        :raises BadInput: the body is longer than the route allows, or the
+            idempotency key was used with another request
+        :raises NotFound: the client account has no request route of this name
         """
         route = self._route(call)
         started_s = asyncio.get_running_loop().time()
@@ -153,57 +165,67 @@
             raise
         if record.error is not None:
             raise record.error
-        return record.answer()
+        return record.current_outcome()
 
     async def status(
         self, handle: str, client_account: str
     ) -> Result[Outcome, NotFound | StoreError]:
-        """Return the outcome under a handle of the account, as known now."""
-        return await self._enquiries.status(handle, client_account)
+        """Return the current outcome for a handle of the client account."""
+        return await self._status_lookup.status(handle, client_account)
 
     async def handle(self, sender: str, message: Message) -> Message | None:
-        """Answer a peer's message about requests."""
+        """Handle a message of a peer.
+
+        :returns: the reply, or ``None`` if the message is not about requests
+        """
         if isinstance(message, ForwardRequest):
             return await self._handle_forward(sender, message)
         if isinstance(message, RequestStatusAsk):
-            outcome = await self._enquiries.answer(sender, message)
+            outcome = await self._status_lookup.answer(sender, message)
             return RequestStatusReply(message.handle, outcome)
         return None
 
     def free_slots(self) -> dict[str, int]:
-        """Return free slots by pool, for heartbeats; none while shutting down."""
+        """Return the free slots by pool, for heartbeats; empty during shutdown."""
         if self._closing:
             return {}
         return {
-            pool: max(0, free - len(self._waiting.get(pool, ())))
+            pool: max(0, free - len(self._queues.get(pool, ())))
             for pool, free in self._slots.free_slots().items()
         }
 
     def usage(self) -> dict[str, float]:
-        """Return slot seconds served since the start, for heartbeats."""
+        """Return the slot seconds used since the start, for heartbeats.
+
+        :returns: totals by ``<pool>/<client account>``
+        """
         return dict(self._dispatcher.usage)
 
     def hear_free_slots(self, host: str, free_slots: dict[str, int]) -> None:
-        """Take over the free slots in a peer's heartbeat."""
+        """Store the free slots by pool from a peer's heartbeat."""
         if host == self._identity.host:
             return
-        self._peer_slots.hear(host, free_slots)
-        self._pump()
+        self._peer_slots.update(host, free_slots)
+        self._assign_slots()
 
     def hear_usage(self, host: str, usage: dict[str, float]) -> None:
-        """Take over the usage in a peer's heartbeat; entries left out are unchanged."""
+        """Charge the usage reported in a peer's heartbeat.
+
+        :param usage: total slot seconds by ``<pool>/<client account>``; totals that
+            the heartbeat omits are unchanged
+        """
         if host == self._identity.host:
             return
-        heard = self._heard_usage.get(host, {})
-        self._heard_usage[host] = {**heard, **usage}
+        heard = self._peer_usage.get(host, {})
+        self._peer_usage[host] = {**heard, **usage}
         for name, total_s in usage.items():
             before_s = heard.get(name, 0.0)
-            # A smaller total comes from a new incarnation, which starts at 0.
+            # A total that decreased comes from a new incarnation, which starts at 0.
             cost_s = total_s - before_s if total_s >= before_s else total_s
             pool, _, account = name.partition("/")
             row = self._config.tables_view.pools.get(pool)
             if cost_s > 0.0 and row is not None and row.work == "request":
-                self._waiting_for(row).charge_remote(account, cost_s)
+                self._queue_for(row).charge_remote(account, cost_s)
 
     def _route(self, call: RequestCall) -> Route:
         route = self._config.tables_view.routes.get(call.route)
@@ -226,7 +248,7 @@
                 call, route, record, lambda: self._runner.run(call, route, record)
             )
         finally:
-            # Only an unexpected exception leaves the record open here.
+            # The record is still open only after an unexpected exception.
             if record.outcome is None:
                 record.lose(record.run)
                 record.close("internal failure")
@@ -239,42 +261,42 @@
         pool = tables.pools.get(route.pool) if route is not None else None
         if self._closing or route is None or pool is None:
             return ForwardReply(message.handle, Outcome("not_run", detail="refused"))
-        serving = self._forwarded.serve(sender, message, route, self._waiting_for(pool))
+        serving = self._forwarded.serve(sender, message, route, self._queue_for(pool))
         return await asyncio.shield(self._spawn(serving))
 
-    def _waiting_for(self, pool: Pool) -> WaitingRequests:
-        waiting = self._waiting.get(pool.name)
-        if waiting is None:
-            waiting = WaitingRequests(
-                self._bounded(pool), self._slots, self._peer_slots.pick
+    def _queue_for(self, pool: Pool) -> RequestQueue:
+        queue = self._queues.get(pool.name)
+        if queue is None:
+            queue = RequestQueue(
+                self._with_queue_limit(pool), self._slots, self._peer_slots.select
             )
-            self._waiting[pool.name] = waiting
-        return waiting
+            self._queues[pool.name] = queue
+        return queue
 
-    def _bounded(self, pool: Pool) -> Pool:
+    def _with_queue_limit(self, pool: Pool) -> Pool:
         limit = min(pool.max_queued, self._queue_limit)
         return pool._replace(max_queued=limit)
 
-    def _pump(self) -> None:
-        for waiting in self._waiting.values():
-            waiting.pump()
+    def _assign_slots(self) -> None:
+        for queue in self._queues.values():
+            queue.assign_slots()
 
-    async def _tick(self) -> None:
+    async def _run_maintenance(self) -> None:
         while True:
             self._slots.refresh()
             pools = self._config.tables_view.pools
-            for name, waiting in self._waiting.items():
+            for name, queue in self._queues.items():
                 if name in pools:
-                    waiting.set_pool(self._bounded(pools[name]))
-                waiting.expire_usage()
-            for host in self._slots.due_probes():
+                    queue.update_pool(self._with_queue_limit(pools[name]))
+                queue.expire_usage()
+            for host in self._slots.take_due_probes():
                 self._spawn(self._probe(host))
-            self._pump()
-            await asyncio.sleep(TICK_S)
+            self._assign_slots()
+            await asyncio.sleep(MAINTENANCE_INTERVAL_S)
 
     async def _probe(self, host: Host) -> None:
         answered = await self._executors.probe(host, PROBE_TIMEOUT_S)
-        self._slots.probed(host.name, answered=answered)
+        self._slots.record_probe(host.name, answered=answered)
 
     def _spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         task = asyncio.create_task(work)
--- a/libs/requests/tests/test_claims.py
+++ b/libs/requests/tests/test_claims.py
@@ -2,11 +2,11 @@
 from bilberryhitch_model import Outcome, RequestCall
 from bilberryhitch_model.errors import StoreAnswerLost, StoreUnavailable
 from bilberryhitch_platform import MemoryTables
-from bilberryhitch_requests.claims import Claims, body_digest, claim_key
+from bilberryhitch_requests.claims import Claims, claim_row_key, request_digest
 from bilberryhitch_testing import FaultyTables, run_virtual
 
 CALL = RequestCall("acme", "c", "r", b"body", "k")
-KEY = claim_key("acme", "k")
+KEY = claim_row_key("acme", "k")
 
 
 def make_claims(tables):
@@ -23,17 +23,17 @@
     run_virtual(main())
 
 
-def test_second_claim_returns_the_first():
+def test_second_claim_returns_the_row_of_the_first():
     async def check(inner, tables, claims):
         assert (await claims.claim(CALL, "h1")).is_ok()
         row = (await claims.claim(CALL, "h2")).error
-        assert (row.handle, row.digest) == ("h1", body_digest(CALL))
+        assert (row.handle, row.digest) == ("h1", request_digest(CALL))
 
     with_tables(check)
 
 
-def test_released_key_can_be_claimed_again_and_old_release_does_nothing():
-    # Guards against a late release that frees another call's claim.
+def test_released_key_can_be_claimed_again_and_repeated_release_has_no_effect():
+    # Guards against a delayed release that deletes the claim of another call.
     async def check(inner, tables, claims):
         first = (await claims.claim(CALL, "h1")).ok
         tables.lose_answers = 1
@@ -54,7 +54,7 @@
     with_tables(check)
 
 
-def test_claim_with_the_store_down_is_unavailable():
+def test_claim_fails_while_the_store_is_down():
     async def check(inner, tables, claims):
         tables.down = True
         with pytest.raises(StoreUnavailable):
@@ -70,7 +70,7 @@
             await claims.claim(CALL, "h1")
         assert await inner.get(KEY) is not None
         tables.lose_answers = 0
-        await claims.resolve(CALL, "h1", caught.value.operation_id)
+        await claims.remove_unresolved(CALL, "h1", caught.value.operation_id)
         assert await inner.get(KEY) is None
 
     with_tables(check)
@@ -80,9 +80,9 @@
     async def check(inner, tables, claims):
         claim = (await claims.claim(CALL, "h1")).ok
         tables.lose_answers = 1
-        await claims.settle(claim, Outcome("completed", b"\x00whole"))
-        await claims.settle(claim, Outcome("failed"))
-        row = await claims.outcome("h1")
+        await claims.write_outcome(claim, Outcome("completed", b"\x00whole"))
+        await claims.write_outcome(claim, Outcome("failed"))
+        row = await claims.read_outcome("h1")
         assert (row.client_account, row.outcome.body) == ("acme", b"\x00whole")
 
     with_tables(check)
--- a/libs/requests/tests/test_executor_client.py
+++ b/libs/requests/tests/test_executor_client.py
@@ -32,7 +32,7 @@
     asyncio.run(main())
 
 
-def test_whole_answer_is_returned():
+def test_complete_answer_is_returned():
     async def check(standin, call):
         answer = await call("a")
         assert (answer.attempt_id, answer.status, answer.body) == ("a", 200, b"hi")
@@ -43,8 +43,9 @@
 @pytest.mark.parametrize(
     "kind", ["drop_before", "drop_after", "truncate", "over_long", "wrong_attempt"]
 )
-def test_broken_answer_is_lost_and_the_next_call_is_clean(kind):
-    # Guards against a partial or foreign answer, and against reuse of its connection.
+def test_invalid_answer_is_rejected_and_the_next_call_succeeds(kind):
+    # Guards against accepting a truncated answer or one of another attempt, and
+    # against reuse of its connection.
     async def check(standin, call):
         standin.faults.put(ExecutorFault(kind, times=1))
         with pytest.raises(ExecutorLost):
@@ -55,7 +56,8 @@
 
 
 def test_duplicated_answer_never_reaches_another_call():
-    # Guards against the second copy being read as the answer to the next call.
+    # Guards against reading the duplicate as the answer to the next call on the
+    # connection.
     async def check(standin, call):
         standin.faults.put(ExecutorFault("duplicate", times=1))
         await call("a", b'{"answer": "first"}')
@@ -79,7 +81,7 @@
     with_executor(check)
 
 
-def test_full_executor_and_refused_connection_did_not_run():
+def test_full_executor_and_refused_connection_are_not_accepted():
     async def check(standin, call):
         busy = [
             asyncio.ensure_future(call(f"a{n}", b'{"sleep_s": 0.3}')) for n in range(8)
--- a/libs/requests/tests/test_outcomes.py
+++ b/libs/requests/tests/test_outcomes.py
@@ -1,33 +1,33 @@
 from bilberryhitch_model import Outcome
-from bilberryhitch_requests.outcomes import Outcomes, RequestRecord
+from bilberryhitch_requests.outcomes import RequestRecord, RequestRecords
 
 
-def test_closed_record_grants_nothing():
+def test_closed_record_gives_no_grant():
     record = RequestRecord("h", "acme")
     record.close("timed out")
-    assert record.answer().status == "not_run"
+    assert record.current_outcome().status == "not_run"
     assert not record.grant("a")
 
 
-def test_running_record_is_unknown_until_a_late_answer():
+def test_outcome_of_a_closed_record_is_unknown_until_a_late_answer():
     record = RequestRecord("h", "acme")
     assert record.grant("a")
     record.close("timed out")
-    assert record.answer().status == "unknown"
+    assert record.current_outcome().status == "unknown"
     record.finish(Outcome("completed", b"late"))
     record.finish(Outcome("not_run"))
-    assert record.answer().body == b"late"
+    assert record.current_outcome().body == b"late"
 
 
-def test_lost_attempt_rules_out_not_run():
+def test_outcome_after_a_lost_run_is_unknown():
     record = RequestRecord("h", "acme")
     record.grant("a")
     record.lose("a")
     record.close("timed out")
-    assert record.answer().status == "unknown"
+    assert record.current_outcome().status == "unknown"
 
 
-def test_grant_goes_to_one_copy_of_the_open_forward():
+def test_grant_goes_to_one_run_of_the_current_forward():
     record = RequestRecord("h", "acme")
     first = record.open_forward("e2")
     second = record.open_forward("e3")
@@ -38,8 +38,8 @@
     assert not record.grant_forward(second, "run-3", "e3")
 
 
-def test_oldest_finished_outcome_is_dropped_and_open_ones_stay():
-    outcomes = Outcomes(max_records=1, max_body_bytes=100)
+def test_oldest_finished_record_is_evicted_and_unfinished_ones_are_kept():
+    outcomes = RequestRecords(max_records=1, max_body_bytes=100)
     open_record = outcomes.open("open", "acme")
     for name in ("a", "b"):
         outcomes.open(name, "acme").finish(Outcome("completed", b"x"))
--- a/libs/requests/tests/test_service.py
+++ b/libs/requests/tests/test_service.py
@@ -23,7 +23,7 @@
 
 
 def test_every_request_completes_without_faults(world):
-    # Guards against proofs that hold because nothing ever runs.
+    # Guards against fault tests that pass because no request ever runs.
     for host in ("e1", "e2", "e3", "s1"):
         world.submit(host, "once")
         world.submit(host, "twice", key=f"k-{host}")
@@ -32,7 +32,7 @@
     assert len(world.calls) == 8
 
 
-def test_work_moves_to_the_host_that_owns_the_executors(world):
+def test_request_is_forwarded_to_the_host_that_owns_the_executor(world):
     owner = max(
         ("e1", "e2", "e3"),
         key=lambda host: world.hosts[host].service.free_slots()["p"],
@@ -44,7 +44,7 @@
     assert not world.hosts[other].service.usage()
 
 
-def test_wrong_route_account_and_body_are_refused(world):
+def test_unknown_route_other_account_and_long_body_are_rejected(world):
     service = world.hosts["e1"].service
     for wrong in (call(route="none"), call(account="else")):
         with pytest.raises(NotFound):
@@ -53,7 +53,7 @@
         run(world, service.submit(call(body=b"x" * 1000)))
 
 
-def test_key_with_another_body_is_refused_and_runs_nothing(world):
+def test_reused_key_with_another_body_is_rejected_and_runs_nothing(world):
     service = world.hosts["e1"].service
     run(world, service.submit(call(key="k")))
     with pytest.raises(BadInput):
@@ -61,8 +61,8 @@
     assert [e["body"] for e in world.history if e["event"] == "ran"] == [b"b"]
 
 
-def test_key_is_free_again_after_not_run(world):
-    # Guards against a key that answers "not run" for ever.
+def test_key_is_released_after_not_run(world):
+    # Guards against a key whose calls are answered with "not run" forever.
     for executor in world.executors.values():
         executor.faults = ["refuse"] * 1000
     number = world.submit("e1", "once", "k")
@@ -75,7 +75,7 @@
     assert world.calls[retry].status == "completed"
 
 
-def test_idempotent_request_is_retried_and_other_is_not(world):
+def test_only_idempotent_requests_are_retried(world):
     for route, status in (("twice", "completed"), ("once", "unknown")):
         world.executors["x1"].faults = ["drop_after"]
         number = world.submit("e2", route)
@@ -83,7 +83,7 @@
         assert world.calls[number].status == status
 
 
-def test_handles_are_read_only_by_their_account(world):
+def test_only_the_account_of_a_handle_can_read_its_outcome(world):
     world.executors["x1"].faults = ["drop_before"]
     outcome = run(world, world.hosts["e2"].service.submit(call()))
     assert outcome.status == "unknown"
@@ -96,8 +96,8 @@
         assert run(world, status(run_handle, "acme")).is_error()
 
 
-def test_close_finishes_what_is_in_flight_and_refuses_new_work(world):
-    # Guards against a graceful shutdown that cuts off a request.
+def test_close_finishes_requests_in_flight_and_rejects_new_ones(world):
+    # Guards against a graceful shutdown that aborts a request.
     service = world.hosts["e2"].service
     for _ in range(SLOTS + 2):
         world.submit("e2", "once")
@@ -110,7 +110,7 @@
     assert len(world.calls) == SLOTS + 2
 
 
-def test_leaving_caller_withdraws_a_queued_request(world):
+def test_disconnected_caller_withdraws_its_queued_request(world):
     for _ in range(SLOTS):
         world.submit("e2", "once")
     world.advance(0.01)
@@ -121,8 +121,8 @@
     assert b"b" not in [e["body"] for e in world.history if e["event"] == "ran"]
 
 
-def test_lost_reply_of_a_peer_is_found_under_the_handle(world):
-    # Guards against a handle that stays unknown although the owner knows better.
+def test_outcome_of_a_lost_peer_reply_is_found_by_the_handle(world):
+    # Guards against a handle that stays "unknown" although the owner knows the outcome.
     world.link_faults = ["lose_reply"]
     number = world.submit("e1", "once", body=b"b")
     world.advance(2.1)
@@ -134,13 +134,13 @@
         assert found.ok.body == answer_to(b"b")
 
 
-def test_usage_left_out_of_a_heartbeat_is_not_charged_again(world):
-    # Guards against charging an account's whole total again after a heartbeat
-    # that listed only other accounts.
+def test_usage_omitted_from_a_heartbeat_is_not_charged_again(world):
+    # Guards against charging an account's total again after a heartbeat that
+    # reported only other accounts.
     service = world.hosts["e1"].service
     charged = []
-    waiting = service._waiting_for(service._config.tables_view.pools["p"])
-    waiting.charge_remote = lambda account, cost_s: charged.append((account, cost_s))
+    queue = service._queue_for(service._config.tables_view.pools["p"])
+    queue.charge_remote = lambda account, cost_s: charged.append((account, cost_s))
     service.hear_usage("e2", {"p/acme": 10.0})
     service.hear_usage("e2", {"p/else": 1.0})
     service.hear_usage("e2", {"p/acme": 12.0})
@@ -148,9 +148,9 @@
 
 
 def test_queue_limit_of_the_process_bounds_every_pool(world):
-    # Guards against a pool row that lets the queue of one process grow without end.
+    # Guards against a pool row that allows an unlimited queue in a process.
     service = world.hosts["e1"].service
     service._queue_limit = 3
     pool = service._config.tables_view.pools["p"]
-    assert service._bounded(pool).max_queued == 3
-    assert service._bounded(pool._replace(max_queued=2)).max_queued == 2
+    assert service._with_queue_limit(pool).max_queued == 3
+    assert service._with_queue_limit(pool._replace(max_queued=2)).max_queued == 2
--- a/libs/requests/tests/test_slots.py
+++ b/libs/requests/tests/test_slots.py
@@ -2,12 +2,16 @@
 
 import pytest
 from bilberryhitch_model import Host, Identity, Pool, Tables
-from bilberryhitch_requests.slots import FIRST_HOLD_S, SLOTS_PER_EXECUTOR, ExecutorSlots
+from bilberryhitch_requests.slots import (
+    MIN_PROBE_DELAY_S,
+    SLOTS_PER_EXECUTOR,
+    ExecutorSlots,
+)
 from bilberryhitch_testing import run_virtual
 
 
 class View:
-    """Configuration and membership of one data centre."""
+    """Configuration and membership of one data centre with two executors."""
 
     def __init__(self):
         self.tables_view = Tables(1, {}, {"p": Pool("p", "request", ("x1", "x2"))})
@@ -29,20 +33,20 @@
         Identity(host, "ruwi", "i"),
         view,
         view,
-        released=lambda: None,
+        on_release=lambda: None,
         owner=lambda key, hosts: hosts[int(key[1]) % len(hosts)],
     )
     slots.refresh()
     return slots
 
 
-def test_owner_grants_eight_slots_and_others_none():
+def test_only_the_owner_of_an_executor_hands_out_its_slots():
     view = View()
     owner, other = make_slots(view, "e2"), make_slots(view, "e3")
-    leases = [owner.take("p") for _ in range(SLOTS_PER_EXECUTOR)]
+    leases = [owner.acquire("p") for _ in range(SLOTS_PER_EXECUTOR)]
     assert all(lease.host.name == "x1" for lease in leases)
-    assert owner.take("p") is None
-    assert other.take("p") is None
+    assert owner.acquire("p") is None
+    assert other.acquire("p") is None
     leases[0].release()
     leases[0].release()
     assert owner.free_slots() == {"p": 1}
@@ -61,20 +65,20 @@
     view = View()
     slots = make_slots(view)
     view.leaving.add("x2")
-    assert slots.take("p") is None
+    assert slots.acquire("p") is None
 
 
 @pytest.mark.parametrize("answered", [True, False])
-def test_failed_executor_is_out_until_a_probe_answers(answered):
+def test_failed_executor_is_excluded_until_a_probe_succeeds(answered):
     async def main():
         slots = make_slots(View())
-        slots.failed("x2")
-        assert slots.take("p") is None
-        assert slots.due_probes() == []
-        await asyncio.sleep(FIRST_HOLD_S)
-        assert [host.name for host in slots.due_probes()] == ["x2"]
-        assert slots.due_probes() == []
-        slots.probed("x2", answered=answered)
-        assert (slots.take("p") is not None) == answered
+        slots.record_failure("x2")
+        assert slots.acquire("p") is None
+        assert slots.take_due_probes() == []
+        await asyncio.sleep(MIN_PROBE_DELAY_S)
+        assert [host.name for host in slots.take_due_probes()] == ["x2"]
+        assert slots.take_due_probes() == []
+        slots.record_probe("x2", answered=answered)
+        assert (slots.acquire("p") is not None) == answered
 
     run_virtual(main())
