--- a/libs/requests/src/bilberryhitch_requests/claims.py
+++ b/libs/requests/src/bilberryhitch_requests/claims.py
@@ -15,8 +15,8 @@
 from expression import Error, Ok, Result
 
 MAX_CLAIM_ATTEMPTS = 3
-INITIAL_BACKOFF_S = 0.2
-MAX_BACKOFF_S = 5.0
+INITIAL_STORE_BACKOFF_S = 0.2
+MAX_STORE_BACKOFF_S = 5.0
 # Shutdown waits for these writes, so they are not retried for the whole of a store
 # outage. Without the outcome row a later call with the key gets "unknown".
 STORE_RETRY_TIMEOUT_S = 60.0
@@ -187,7 +187,7 @@
         """Retry an idempotent step with backoff until it succeeds or times out."""
         loop = asyncio.get_running_loop()
         give_up_s = loop.time() + STORE_RETRY_TIMEOUT_S
-        delay_s = INITIAL_BACKOFF_S
+        delay_s = INITIAL_STORE_BACKOFF_S
         while True:
             try:
                 await step()
@@ -196,4 +196,4 @@
                 if loop.time() >= give_up_s:
                     return
             await asyncio.sleep(delay_s)
-            delay_s = min(MAX_BACKOFF_S, 2 * delay_s)
+            delay_s = min(MAX_STORE_BACKOFF_S, 2 * delay_s)
--- a/libs/requests/src/bilberryhitch_requests/retries.py
+++ b/libs/requests/src/bilberryhitch_requests/retries.py
@@ -2,10 +2,10 @@
 
 import random
 
-RETRY_RATIO = 0.1
+RETRIES_PER_REQUEST = 0.1
 MAX_TOKENS = 100.0
 # Allows an account with few requests one retry before it has earned a token.
-INITIAL_TOKENS = 1.0
+STARTING_TOKENS = 1.0
 BACKOFF_BASE_S = 0.05
 MAX_BACKOFF_S = 2.0
 
@@ -16,19 +16,19 @@
     :param share: tokens earned per request; a retry costs one token
     """
 
-    def __init__(self, rng: random.Random, share: float = RETRY_RATIO) -> None:
+    def __init__(self, rng: random.Random, share: float = RETRIES_PER_REQUEST) -> None:
         self._rng = rng
         self._ratio = share
         self._tokens: dict[str, float] = {}
 
     def record_request(self, client_account: str) -> None:
         """Add the tokens earned by one request of the account."""
-        tokens = self._tokens.get(client_account, INITIAL_TOKENS) + self._ratio
+        tokens = self._tokens.get(client_account, STARTING_TOKENS) + self._ratio
         self._tokens[client_account] = min(tokens, MAX_TOKENS)
 
     def try_spend(self, client_account: str) -> bool:
         """Spend one token; return ``False`` if the account has none."""
-        tokens = self._tokens.get(client_account, INITIAL_TOKENS)
+        tokens = self._tokens.get(client_account, STARTING_TOKENS)
         if tokens < 1.0:
             return False
         self._tokens[client_account] = tokens - 1.0
--- a/libs/requests/tests/test_waiting.py
+++ b/libs/requests/tests/test_waiting.py
@@ -111,7 +111,7 @@
     run_virtual(main())
 
 
-def test_full_queue_drops_from_the_account_furthest_above_its_share():
+def test_full_queue_rejects_the_account_furthest_above_its_share():
     async def main():
         harness = QueueHarness(max_queued=4)
         for _ in range(4):
