--- a/libs/peers/src/bilberryhitch_peers/__init__.py
+++ b/libs/peers/src/bilberryhitch_peers/__init__.py
@@ -1,4 +1,4 @@
-"""The pyzmq link between entry hosts and its message types."""
+"""ZeroMQ link between entry hosts and its message types."""
 
 from .link import LinkCounts, PeerLink
 from .messages import (
--- a/libs/peers/src/bilberryhitch_peers/envelope.py
+++ b/libs/peers/src/bilberryhitch_peers/envelope.py
@@ -1,4 +1,4 @@
-"""Frames of the peer link: a header and a message, both msgpack."""
+"""Wire format of the peer link: a header and a message frame, both msgpack."""
 
 from typing import Literal
 
@@ -12,9 +12,9 @@
 class Header(msgspec.Struct, frozen=True, array_like=True):
     """First frame of every message.
 
-    :ivar sender: host that sent it
-    :ivar kind: whether an answer is expected, or this is one
-    :ivar call_id: joins a call and its reply; empty for ``send``
+    :ivar sender: name of the sending host
+    :ivar kind: one-way message, call that expects a reply, or reply
+    :ivar call_id: correlates a call and its reply; empty for ``send``
     """
 
     sender: str
@@ -33,9 +33,9 @@
 
 
 def unpack(frames: list[bytes]) -> tuple[Header, Message]:
-    """Return header and message of the frames after the routing frame.
+    """Decode header and message from the frames after the routing frame.
 
-    :raises msgspec.DecodeError: they are not two frames of these types
+    :raises msgspec.DecodeError: there are not two frames, or one is invalid
     """
     try:
         header, message = frames
--- a/libs/peers/src/bilberryhitch_peers/link.py
+++ b/libs/peers/src/bilberryhitch_peers/link.py
@@ -1,4 +1,4 @@
-"""The link between entry hosts over ZeroMQ."""
+"""Message link between entry hosts over ZeroMQ."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine, Mapping, Sequence
@@ -13,16 +13,17 @@
 
 from .envelope import MAX_MESSAGE_BYTES, Header, pack, unpack
 from .messages import Message
-from .outbox import Outbox, Outgoing, SendState
+from .outbox import Outbox, OutgoingMessage, SendState
 
 QUEUE_LIMIT = 256
-MAX_HANDLED_AT_ONCE = 1024
-SOCKET_QUEUE = 64  # messages ZeroMQ holds per connection; they cannot be withdrawn
-KEEPALIVE_MS = 1000
+MAX_CONCURRENT_HANDLERS = 1024
+# Send and receive queue of ZeroMQ per connection; messages in it cannot be withdrawn.
+SOCKET_QUEUE_MESSAGES = 64
+KEEPALIVE_INTERVAL_MS = 1000
 KEEPALIVE_TIMEOUT_MS = 3000
-RECONNECT_MS = 100
-RECONNECT_MAX_MS = 1000
-DRAIN_S = 0.5
+RECONNECT_DELAY_MS = 100
+MAX_RECONNECT_DELAY_MS = 1000
+CLOSE_DRAIN_TIMEOUT_S = 0.5
 LINGER_MS = 200
 
 Handler = Callable[[str, Message], Awaitable[Message | None]]
@@ -40,14 +41,14 @@
 
 
 class LinkCounts:
-    """What the link did since it was started.
+    """Counters of a link since it was created.
 
-    :ivar undecodable: messages dropped because they did not decode
+    :ivar undecodable: received messages dropped because they did not decode
     :ivar refused: messages not queued, because the queue was full, the message
         too large or the peer unknown
-    :ivar late_replies: replies dropped because nobody waited for them
+    :ivar late_replies: replies dropped because no call was waiting for them
     :ivar overloaded: messages dropped because too many were being handled
-    :ivar handler_failures: messages whose handler raised
+    :ivar handler_failures: messages whose handler raised an exception
     """
 
     def __init__(self) -> None:
@@ -66,14 +67,15 @@
     """Sends messages to other entry hosts and receives theirs.
 
     One ROUTER socket receives; each peer has one DEALER socket, one bounded
-    queue and one task. A reply travels over the replying host's own DEALER.
+    queue and one task. A reply is sent over the replying host's own DEALER.
 
-    :param bind: where this host listens; port 0 lets the kernel choose
+    :param bind: address to listen on; with port 0 the kernel chooses a port
     :param handler: called with sender and message for everything but replies;
-        what it returns answers a call. Messages of one sender are started in
-        the order of their arrival, a handler that awaits does not hold up others
-    :param report: called for each message that was dropped, with the reason
-    :ivar counts: counters of this link
+        its result is the reply to a call. Handlers start in order of arrival and
+        run concurrently
+    :param queue_limit: maximum number of queued messages per peer
+    :param max_message_bytes: maximum size of a frame
+    :param report: called with reason and log fields for each dropped message
     """
 
     def __init__(
@@ -105,9 +107,9 @@
         self.counts = LinkCounts()
 
     async def start(self) -> Address:
-        """Listen and connect to every peer.
+        """Bind the socket and connect to every peer.
 
-        :returns: the address in use
+        :returns: the address bound
         :raises zmq.ZMQError: the address cannot be bound
         """
         self._context = zmq.asyncio.Context()
@@ -121,14 +123,16 @@
         return Address(self._bind.ip, int(endpoint.rpartition(":")[2]))
 
     async def close(self) -> None:
-        """Send what can be sent within half a second, then stop.
+        """Send queued messages for at most half a second, then stop.
 
-        Calls under way end with :class:`PeerUnsent` or :class:`PeerTimeout`.
+        Calls in progress raise :class:`PeerUnsent` or :class:`PeerTimeout`.
         """
         if self._context is None:
             return
         outboxes = [peer.outbox for peer in self._peers.values()]
-        await asyncio.gather(*(outbox.drain(DRAIN_S) for outbox in outboxes))
+        await asyncio.gather(
+            *(outbox.drain(CLOSE_DRAIN_TIMEOUT_S) for outbox in outboxes)
+        )
         self._peers.clear()
         for outbox in outboxes:
             await outbox.close(LINGER_MS)
@@ -140,42 +144,42 @@
         await asyncio.gather(*tasks, *self._closing, return_exceptions=True)
         if self._router is not None:
             self._router.close(linger=0)
-        # Terminating waits for lingering sockets, so it must not block the loop.
+        # Termination blocks until lingering sockets are closed.
         await asyncio.to_thread(self._context.term)
         self._context = None
 
     def set_peers(self, peers: Sequence[PeerAddress]) -> None:
-        """Replace the peers; queues of peers that stay are kept."""
+        """Replace the peers; a peer with the same address keeps its queue."""
         wanted = {peer.host: peer for peer in peers if peer.host != self._identity.host}
         for host, peer in list(self._peers.items()):
             if wanted.get(host) != peer.address:
                 del self._peers[host]
-                _spawn(self._closing, peer.outbox.close(LINGER_MS))
+                _spawn_tracked(self._closing, peer.outbox.close(LINGER_MS))
         for host, address in wanted.items():
             if host not in self._peers:
                 outbox = Outbox(self._connect(address), self._queue_limit)
                 self._peers[host] = _Peer(address, outbox)
 
     def send(self, host: str, message: Message) -> bool:
-        """Queue a message; delivery is not certain.
+        """Queue a message; delivery is not guaranteed.
 
-        :returns: ``False`` when it was not queued
+        :returns: ``False`` if it was not queued
         """
         header = Header(self._identity.host, "send")
         return self._queue(host, pack(header, message)) is not None
 
     def broadcast(self, message: Message, data_centre: str | None = None) -> None:
-        """Queue a message to every peer, or to those of one data centre."""
+        """Queue a message to every peer, or to every peer of one data centre."""
         frames = pack(Header(self._identity.host, "send"), message)
         for host, peer in self._peers.items():
             if data_centre in (None, peer.address.data_centre):
                 self._queue(host, frames)
 
     async def call(self, host: str, message: Message, timeout_s: float) -> Message:
-        """Send a message and wait for its answer.
+        """Send a message and return its reply.
 
-        :raises PeerUnsent: the message never reaches the peer
-        :raises PeerTimeout: it may have reached the peer
+        :raises PeerUnsent: the message was not and will not be sent
+        :raises PeerTimeout: the peer may have received the message
         """
         call_id = f"{self._identity.incarnation}-{next(self._numbers)}"
         header = Header(self._identity.host, "call", call_id)
@@ -196,10 +200,10 @@
             raise PeerUnsent(host)
         raise PeerTimeout(host)
 
-    def _queue(self, host: str, frames: tuple[bytes, bytes]) -> Outgoing | None:
+    def _queue(self, host: str, frames: tuple[bytes, bytes]) -> OutgoingMessage | None:
         peer = self._peers.get(host)
         size = sum(map(len, frames))
-        outgoing = Outgoing(frames)
+        outgoing = OutgoingMessage(frames)
         if (
             peer is None
             or max(map(len, frames)) > self._max_bytes
@@ -224,14 +228,14 @@
                 self._report("peer message undecodable", {"reason": str(error)})
                 continue
             if header.kind == "reply":
-                self._take_reply(header, message)
-            elif len(self._handling) >= MAX_HANDLED_AT_ONCE:
+                self._deliver_reply(header, message)
+            elif len(self._handling) >= MAX_CONCURRENT_HANDLERS:
                 self.counts.overloaded += 1
                 self._report("peer message dropped", {"host": header.sender})
             else:
-                _spawn(self._handling, self._handle(header, message))
+                _spawn_tracked(self._handling, self._handle(header, message))
 
-    def _take_reply(self, header: Header, message: Message) -> None:
+    def _deliver_reply(self, header: Header, message: Message) -> None:
         call = self._calls.get(header.call_id)
         if call is None or call.host != header.sender or call.answer.done():
             self.counts.late_replies += 1
@@ -241,7 +245,7 @@
     async def _handle(self, header: Header, message: Message) -> None:
         try:
             reply = await self._handler(header.sender, message)
-        except Exception as error:  # a failing handler must not end the link
+        except Exception as error:  # a failing handler must not stop the link
             self.counts.handler_failures += 1
             fields = {"host": header.sender, "error": repr(error)}
             self._report("peer handler failed", fields)
@@ -254,24 +258,26 @@
     def _connect(self, peer: PeerAddress) -> zmq.asyncio.Socket:
         socket = self._new_socket(zmq.DEALER)
         socket.setsockopt(zmq.IMMEDIATE, 1)
-        socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
-        socket.setsockopt(zmq.RECONNECT_IVL_MAX, RECONNECT_MAX_MS)
+        socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_DELAY_MS)
+        socket.setsockopt(zmq.RECONNECT_IVL_MAX, MAX_RECONNECT_DELAY_MS)
         socket.connect(f"tcp://{peer.address.ip}:{peer.address.port}")
         return socket
 
     def _new_socket(self, kind: int) -> zmq.asyncio.Socket:
         assert self._context is not None, "the link is not started"
         socket = self._context.socket(kind)
-        socket.setsockopt(zmq.SNDHWM, SOCKET_QUEUE)
-        socket.setsockopt(zmq.RCVHWM, SOCKET_QUEUE)
-        socket.setsockopt(zmq.HEARTBEAT_IVL, KEEPALIVE_MS)
+        socket.setsockopt(zmq.SNDHWM, SOCKET_QUEUE_MESSAGES)
+        socket.setsockopt(zmq.RCVHWM, SOCKET_QUEUE_MESSAGES)
+        socket.setsockopt(zmq.HEARTBEAT_IVL, KEEPALIVE_INTERVAL_MS)
         socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, KEEPALIVE_TIMEOUT_MS)
         socket.setsockopt(zmq.HEARTBEAT_TTL, KEEPALIVE_TIMEOUT_MS)
         return socket
 
 
-def _spawn(tasks: set[asyncio.Task[None]], work: Coroutine[Any, Any, None]) -> None:
-    """Run ``work`` as a task that ``tasks`` holds until it ends."""
+def _spawn_tracked(
+    tasks: set[asyncio.Task[None]], work: Coroutine[Any, Any, None]
+) -> None:
+    """Run ``work`` as a task that ``tasks`` references until it ends."""
     task = asyncio.create_task(work)
     tasks.add(task)
     task.add_done_callback(tasks.discard)
--- a/libs/peers/src/bilberryhitch_peers/messages.py
+++ b/libs/peers/src/bilberryhitch_peers/messages.py
@@ -1,7 +1,7 @@
 """Messages between entry hosts, encoded as msgpack.
 
-New fields are appended with defaults, so that processes of two versions can
-exchange messages during a rolling restart.
+New fields are appended with defaults, so that two versions can exchange messages
+during a rolling restart.
 """
 
 import msgspec
@@ -9,13 +9,17 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="heartbeat"):
-    """Periodic sign of life.
-
-    :ivar usage: cost served since the start of the incarnation, in accelerator
-        or slot seconds, by ``<pool>/<client account>``
-    :ivar free_slots: executor slots free at the sender, by pool
-    :ivar drains_revision: store revision up to which the sender knows all drains
-    :ivar marks_digest: digest of the runs of hosts the sender knows to be leaving
+    """Periodic liveness message.
+
+    :ivar incarnation: the current run of the sender's process
+    :ivar leaving: whether the sender is shutting down
+    :ivar config_revision: revision of the configuration in force at the sender
+    :ivar usage: usage since the start of the incarnation, in accelerator or slot
+        seconds, by ``<pool>/<client account>``
+    :ivar free_slots: free executor slots at the sender, by pool
+    :ivar drains_revision: store revision up to which the sender has read drains
+    :ivar marks_digest: digest of the boots and incarnations of the hosts that the
+        sender knows to be leaving
     """
 
     host: str
@@ -30,7 +34,7 @@
 
 
 class ConfigOffer(msgspec.Struct, frozen=True, tag="config_offer"):
-    """Committed changes in revision order, or a whole snapshot.
+    """Committed configuration changes in revision order, or a snapshot.
 
     :ivar changes: encoded :class:`~bilberryhitch_model.ConfigChange` records
     :ivar snapshot: encoded :class:`~bilberryhitch_model.Tables`, or empty
@@ -42,18 +46,18 @@
 
 
 class ConfigAsk(msgspec.Struct, frozen=True, tag="config_ask"):
-    """Asks for what was committed after ``since``; answered by an offer."""
+    """Requests the changes after revision ``since``; answered by a ConfigOffer."""
 
     since: int
 
 
 class DrainNotice(msgspec.Struct, frozen=True, tag="drain_notice"):
-    """A host is leaving, or its drain was undone.
+    """A host is leaving, or its drain was cancelled.
 
-    :ivar store_revision: revision of the drain row; 0 when the notice is not
-        about a drain
-    :ivar boot_id: boot of the host that the platform's list called leaving
-    :ivar incarnation: run of the entry host's process that announced its leaving
+    :ivar store_revision: revision of the drain row; 0 if the notice is not about
+        a drain
+    :ivar boot_id: boot of the host that the platform's host list shows as leaving
+    :ivar incarnation: run of the entry host's process that announced its shutdown
     """
 
     host: str
@@ -64,10 +68,11 @@
 
 
 class ForwardRequest(msgspec.Struct, frozen=True, tag="forward_request"):
-    """A request handed to the owner of executor slots.
+    """A request forwarded to the entry host that owns the executor slots.
 
-    :ivar handle: handle under which the first entry host knows the request
-    :ivar wait_s: how long the first entry host will wait for the answer
+    :ivar handle: the request's handle at the forwarding entry host
+    :ivar wait_s: how long the forwarding entry host waits for the outcome, in
+        seconds
     """
 
     call: RequestCall
@@ -83,14 +88,14 @@
 
 
 class RequestStatusAsk(msgspec.Struct, frozen=True, tag="request_status_ask"):
-    """Asks the entry host named in a handle for the outcome."""
+    """Requests the outcome from the entry host named in the handle."""
 
     handle: str
     client_account: str
 
 
 class RequestStatusReply(msgspec.Struct, frozen=True, tag="request_status_reply"):
-    """What that entry host knows; ``None`` when it does not know the handle."""
+    """Outcome of a request; ``None`` if the handle is unknown."""
 
     handle: str
     outcome: Outcome | None
@@ -104,37 +109,37 @@
 
 
 class CancelJob(msgspec.Struct, frozen=True, tag="cancel_job"):
-    """Asks the planner to cancel a job."""
+    """Requests that the planner cancel a job."""
 
     job_id: str
 
 
 class CancelReply(msgspec.Struct, frozen=True, tag="cancel_reply"):
-    """The encoded job record after the cancellation, or empty."""
+    """The encoded job record as the receiver found it; empty if it has none."""
 
     job_id: str
     record: bytes
 
 
 class ExplainAsk(msgspec.Struct, frozen=True, tag="explain_ask"):
-    """Asks the planner why a job is where it is."""
+    """Requests the planner's explanation of a job's state."""
 
     job_id: str
 
 
 class ExplainReply(msgspec.Struct, frozen=True, tag="explain_reply"):
-    """The explanation, or ``None`` when the job is not with this planner."""
+    """The explanation; ``None`` if the receiver does not plan the job."""
 
     job_id: str
     explanation: Explanation | None
 
 
 class HostListAsk(msgspec.Struct, frozen=True, tag="host_list_ask"):
-    """Asks for the platform's host list, which the sender could never read."""
+    """Requests the platform's host list; sent by a host that never could read it."""
 
 
 class HostListReply(msgspec.Struct, frozen=True, tag="host_list_reply"):
-    """The host list as the sender last read it from the platform."""
+    """The host list that the sender last read from the platform."""
 
     hosts: list[Host]
 
--- a/libs/peers/src/bilberryhitch_peers/outbox.py
+++ b/libs/peers/src/bilberryhitch_peers/outbox.py
@@ -1,4 +1,4 @@
-"""The bounded queue of one peer and the task that empties it."""
+"""Bounded queue of outgoing messages to one peer and the task that sends them."""
 
 import asyncio
 import contextlib
@@ -13,15 +13,15 @@
 
 
 class SendState(Enum):
-    """How far a message got."""
+    """Delivery state of an outgoing message."""
 
     QUEUED = "queued"
     SENT = "sent"
     WITHDRAWN = "withdrawn"
 
 
-class Outgoing:
-    """A message on its way out.
+class OutgoingMessage:
+    """An outgoing message.
 
     :ivar state: ``SENT`` from the moment the peer may receive it
     """
@@ -34,14 +34,15 @@
 
 
 class Outbox:
-    """Messages to one peer, in order.
+    """Sends messages to one peer in order.
 
-    Messages stay in this queue, where they can be withdrawn, until a connection
-    exists and takes them: ``ZMQ_IMMEDIATE`` keeps ZeroMQ from holding messages
+    A message stays in this queue, from which it can be withdrawn, until a
+    connection accepts it: ``ZMQ_IMMEDIATE`` keeps ZeroMQ from queueing messages
     for a peer that is not connected.
 
-    :param socket: a connected DEALER; closed with the outbox
-    :param limit: most messages that wait
+    :param socket: a DEALER socket on which connect was called; closed with the
+        outbox
+    :param limit: maximum number of queued messages
     """
 
     def __init__(self, socket: zmq.asyncio.Socket, limit: int) -> None:
@@ -49,15 +50,15 @@
         self._writable = zmq.asyncio.Poller()
         self._writable.register(socket, zmq.POLLOUT)
         self._limit = limit
-        self._queue: deque[Outgoing] = deque()
+        self._queue: deque[OutgoingMessage] = deque()
         self._waiting = 0
         self._filled = asyncio.Event()
         self._emptied = asyncio.Event()
         self._emptied.set()
         self._task = asyncio.create_task(self._run())
 
-    def offer(self, outgoing: Outgoing) -> bool:
-        """Queue a message; ``False`` when the queue is full."""
+    def offer(self, outgoing: OutgoingMessage) -> bool:
+        """Queue a message; return ``False`` if the queue is full."""
         if self._waiting >= self._limit:
             return False
         self._queue.append(outgoing)
@@ -66,11 +67,11 @@
         self._emptied.clear()
         return True
 
-    def withdraw(self, outgoing: Outgoing) -> bool:
-        """Take a message back; ``False`` when the peer may receive it."""
+    def withdraw(self, outgoing: OutgoingMessage) -> bool:
+        """Withdraw a message; return ``False`` if the peer may receive it."""
         if outgoing.state is SendState.QUEUED:
             outgoing.state = SendState.WITHDRAWN
-            self._one_less()
+            self._decrement_waiting()
         return outgoing.state is SendState.WITHDRAWN
 
     async def drain(self, timeout_s: float) -> None:
@@ -80,7 +81,7 @@
                 await self._emptied.wait()
 
     async def close(self, linger_ms: int) -> None:
-        """Stop sending; what is queued is never sent."""
+        """Stop sending and withdraw all queued messages."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
         while self._queue:
@@ -93,14 +94,14 @@
             if not self._queue:
                 self._filled.clear()
                 continue
-            # Polling costs more than a send, and most sends succeed at once.
+            # Polling costs more than a send, and most sends succeed immediately.
             if not self._send_first():
                 await self._writable.poll()
 
     def _send_first(self) -> bool:
-        """Send the first message; ``False`` when no connection takes it now.
+        """Send the first message; return ``False`` if no connection accepts it now.
 
-        With ``NOBLOCK`` the send is decided before this task is suspended, so a
+        With ``NOBLOCK`` the send succeeds or fails before this task yields, so a
         message is never both withdrawn and sent.
         """
         outgoing = self._queue[0]
@@ -112,10 +113,10 @@
             return False
         self._queue.popleft()
         outgoing.state = SendState.SENT
-        self._one_less()
+        self._decrement_waiting()
         return True
 
-    def _one_less(self) -> None:
+    def _decrement_waiting(self) -> None:
         self._waiting -= 1
         if self._waiting == 0:
             self._emptied.set()
