--- a/libs/gangs/src/bilberryhitch_gangs/__init__.py
+++ b/libs/gangs/src/bilberryhitch_gangs/__init__.py
@@ -1,11 +1,11 @@
-"""Planner leases, gang start, renewal, reclaim and the job service."""
+"""Planner election, gang start and stop, lease renewal and the job service."""
 
-from .jobs import JobService
+from .active_planner import PoolView
+from .job_service import JobService
 from .planner import Planner
 from .planner_lease import PlannerLease, PlannerLost, PlannerRow
 from .planner_set import PlannerSet
 from .pool_scheduler import PoolScheduler, SchedulerFactory
-from .tenure import PoolView
 from .worker_client import (
     HttpWorkerClient,
     LeaseView,
--- a/libs/gangs/src/bilberryhitch_gangs/tenure.py
+++ b/libs/gangs/src/bilberryhitch_gangs/active_planner.py
@@ -1,4 +1,4 @@
-"""The time for which a planner holds its lease."""
+"""The planner of one pool while it holds the planner lease."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,26 +18,26 @@
 from bilberryhitch_telemetry import events, log, metrics
 
 from .context import PlannerContext
-from .gang import Ending
+from .gang import EndReason
 from .gang_run import launch
 from .job_rows import JobRow, scan_jobs
 from .reconcile import queued_job, reconcile
 from .renewal import WorkerLink
 
-POLL_S = 1.0
-DECIDE_S = 0.25
-# Gives a wave of wake-ups time to arrive, and bounds repeats of a start that
-# is refused at once.
-SETTLE_S = 0.05
-RAISE_EPOCH_S = 5.0
-LAUNCH_WAIT_S = 5.0
+JOB_POLL_INTERVAL_S = 1.0
+DECISION_INTERVAL_S = 0.25
+# Lets the events of a burst arrive before the next decision, and limits the rate
+# of retries of a start that fails immediately.
+DECISION_DELAY_S = 0.05
+RAISE_EPOCH_INTERVAL_S = 5.0
+QUIESCE_TIMEOUT_S = 5.0
 
 
 class PoolView(NamedTuple):
-    """The pool as the configuration and the membership show it.
+    """A pool's configuration and the workers that the membership lists for it.
 
     :param hosts: every known worker of the pool in the data centre
-    :param usable: names of those that may get new work
+    :param usable: names of the workers that may get new work
     """
 
     pool: Pool
@@ -45,63 +45,69 @@
     usable: frozenset[str]
 
 
-class Tenure:
-    """The time from one acquisition of the lease to its loss."""
+class ActivePlanner:
+    """Plans the jobs of one pool from the acquisition of the lease to its loss.
+
+    :param view: returns the pool as it is now
+    :param initial_view: the pool with which the scheduler was made
+    :ivar ready: whether reconciliation is complete
+    :ivar poll_now: set to read the job rows before the next poll is due
+    """
 
     def __init__(
         self,
         context: PlannerContext,
         view: Callable[[], PoolView],
-        first: PoolView,
+        initial_view: PoolView,
     ) -> None:
         self._context = context
         self._view = view
-        self._pool = first.pool
-        self._placeable = {host.name for host in first.hosts}
-        self._links: dict[str, WorkerLink] = {}
-        self._link_tasks: dict[str, asyncio.Task[None]] = {}
-        self._since = 0
-        self._noted_pool: Pool | None = None
+        self._pool = initial_view.pool
+        self._placeable = {host.name for host in initial_view.hosts}
+        self._renewers: dict[str, WorkerLink] = {}
+        self._renewer_tasks: dict[str, asyncio.Task[None]] = {}
+        self._scanned_revision = 0
+        self._reported_pool: Pool | None = None
         self._shortfall: tuple[GuaranteeShortfall, ...] = ()
-        self._leaving = False
+        self._quiescing = False
         self.ready = False
         self.poll_now = asyncio.Event()
 
-    def knows(self, job_id: str) -> bool:
-        """Whether the job is queued or has a gang here."""
+    def has_job(self, job_id: str) -> bool:
+        """Whether the job is unfinished and belongs to this pool."""
         return job_id in self._context.rows
 
     def explain(self, job_id: str) -> Explanation:
-        """Return the scheduler's explanation."""
+        """Return the scheduler's explanation of the job's state."""
         return self._context.scheduler.explain(job_id)
 
     async def run(self) -> None:
-        """Reconcile, then decide until cancelled."""
-        self._context.spawn(self._guard_epoch())
+        """Reconcile, then make scheduling decisions until cancelled."""
+        self._context.spawn(self._raise_stale_epoch())
         self._update_hosts(self._view())
-        self._since = await reconcile(self._context, _loop_time())
-        self._sync_links()
+        self._scanned_revision = await reconcile(self._context, _loop_time())
+        self._sync_renewers()
         for row in sorted(self._context.rows.values(), key=_accepted_at):
-            self._take_in(row, new=True)
+            self._apply_row(row, initial=True)
         self.ready = True
         self._context.spawn(self._poll())
         while True:
             self._sync_pool()
-            if self._context.lease.store_up and not self._leaving:
+            if self._context.lease.store_up and not self._quiescing:
                 self._decide()
-            self._context.wake.clear()
-            await _wait(self._context.wake, DECIDE_S)
-            await asyncio.sleep(SETTLE_S)
-
-    async def leave(self) -> None:
-        """Start nothing more, and wait for the starts under way."""
-        self._leaving = True
-        until = _loop_time() + LAUNCH_WAIT_S
-        while _loop_time() < until:
+            self._context.decision_due.clear()
+            await _wait_for_event(self._context.decision_due, DECISION_INTERVAL_S)
+            await asyncio.sleep(DECISION_DELAY_S)
+
+    async def quiesce(self) -> None:
+        """Start no more gangs, and wait for the starts in progress."""
+        self._quiescing = True
+        deadline = _loop_time() + QUIESCE_TIMEOUT_S
+        while _loop_time() < deadline:
             gangs = self._context.gangs.values()
             if all(gang.running and not gang.end.done() for gang in gangs):
                 return
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(DECISION_DELAY_S)
 
     def _decide(self) -> None:
         pool = self._pool.name
@@ -113,57 +119,62 @@
                 continue
             gang = self._context.gangs.get(decision.job_id)
             if gang is not None:
-                gang.finish(Ending("evict"))
+                gang.finish(EndReason("evict"))
 
     async def _poll(self) -> None:
         while True:
             self.poll_now.clear()
-            await _wait(self.poll_now, POLL_S)
+            await _wait_for_event(self.poll_now, JOB_POLL_INTERVAL_S)
             try:
-                rows, self._since = await scan_jobs(
-                    self._context.tables, self._context.prefix, self._since
+                rows, self._scanned_revision = await scan_jobs(
+                    self._context.tables,
+                    self._context.row_prefix,
+                    self._scanned_revision,
                 )
             except StoreUnavailable:
                 continue
             for row in rows:
-                self._take_in(row)
+                self._apply_row(row)
+
+    def _apply_row(self, row: JobRow, *, initial: bool = False) -> None:
+        """Act on a row that another process wrote.
 
-    def _take_in(self, row: JobRow, *, new: bool = False) -> None:
-        """Act on a row that a caller wrote; this planner's own are known."""
+        :param initial: act on the row even if this revision is already known
+        """
         job_id = row.record.job_id
         known = self._context.rows.get(job_id)
         if known is None and row.record.state == "finished":
             return
-        if not new and known is not None and row.revision <= known.revision:
+        if not initial and known is not None and row.revision <= known.revision:
             return
-        self._context.note_row(row)
+        self._context.update_row(row)
         gang = self._context.gangs.get(job_id)
         if gang is not None:
             if row.record.cancel:
-                gang.finish(Ending("cancel"))
+                gang.finish(EndReason("cancel"))
         elif row.record.state == "finished":
             self._context.scheduler.cancel(job_id)
             self._context.forget_job(job_id)
-        elif row.record.state == "queued" and (new or known is None):
+        elif row.record.state == "queued" and (initial or known is None):
             self._submit(row)
-        self._context.wake.set()
+        self._context.decision_due.set()
 
     def _submit(self, row: JobRow) -> None:
         at = _loop_time()
         result = self._context.scheduler.submit(queued_job(row.record, at), at)
         if result.is_error():
-            self._context.spawn(self._refuse(row, str(result.error)))
+            self._context.spawn(self._reject(row, str(result.error)))
         for dropped in self._context.scheduler.take_dropped():
-            self._refuse_dropped(dropped.item.job_id)
+            self._reject_dropped(dropped.item.job_id)
 
-    def _refuse_dropped(self, job_id: str) -> None:
-        """End a job that a full queue gave up for one with a better claim."""
+    def _reject_dropped(self, job_id: str) -> None:
+        """Finish a job that a full queue dropped in favour of another."""
         row = self._context.rows.get(job_id)
         if row is not None:
-            self._context.spawn(self._refuse(row, "the queue of the pool is full"))
+            self._context.spawn(self._reject(row, "the queue of the pool is full"))
 
-    async def _refuse(self, row: JobRow, reason: str) -> None:
-        """End a job that the scheduler does not take."""
+    async def _reject(self, row: JobRow, reason: str) -> None:
+        """Finish a job that the scheduler does not accept."""
 
         def change(record: JobRecord) -> JobRecord:
             status: OutcomeStatus = "failed" if record.attempt else "not_run"
@@ -177,8 +188,8 @@
         await self._context.change_row(row, change)
         self._context.forget_job(row.record.job_id)
 
-    def _note_shortfall(self) -> None:
-        """Report guarantees that the hosts left cannot hold, once per change."""
+    def _report_shortfall(self) -> None:
+        """Log guarantees that the remaining hosts cannot satisfy, once per change."""
         shortfall = tuple(self._context.scheduler.shortfall())
         if shortfall == self._shortfall:
             return
@@ -196,45 +207,45 @@
             self._pool = view.pool
             self._context.scheduler.set_pool(view.pool)
         self._update_hosts(view)
-        self._sync_links()
-        placeable = {name for name in view.usable if self._links[name].usable}
+        self._sync_renewers()
+        placeable = {name for name in view.usable if self._renewers[name].usable}
         for name in sorted(self._placeable - placeable):
             self._context.scheduler.host_lost(name)
         for name in sorted(placeable - self._placeable):
             self._context.scheduler.host_back(self._context.hosts[name])
-        if placeable != self._placeable or view.pool != self._noted_pool:
-            self._placeable, self._noted_pool = placeable, view.pool
-            self._note_shortfall()
+        if placeable != self._placeable or view.pool != self._reported_pool:
+            self._placeable, self._reported_pool = placeable, view.pool
+            self._report_shortfall()
 
     def _update_hosts(self, view: PoolView) -> None:
         for host in view.hosts:
             self._context.hosts[host.name] = host
 
-    def _sync_links(self) -> None:
-        """Keep one link to each worker of the pool or with a gang."""
+    def _sync_renewers(self) -> None:
+        """Renew leases on each worker that is in the pool or runs a gang."""
         wanted = {host.name for host in self._view().hosts}
         wanted |= {
             name for gang in self._context.gangs.values() for name in gang.members
         }
-        for name in wanted - set(self._links):
+        for name in wanted - set(self._renewers):
             link = WorkerLink(self._context, self._context.hosts[name])
-            self._links[name] = link
-            self._link_tasks[name] = self._context.spawn(link.run())
-        for name in set(self._links) - wanted:
-            del self._links[name]
-            self._link_tasks.pop(name).cancel()
-
-    async def _guard_epoch(self) -> None:
-        """Take a higher epoch when a worker of this pool has seen one."""
+            self._renewers[name] = link
+            self._renewer_tasks[name] = self._context.spawn(link.run())
+        for name in set(self._renewers) - wanted:
+            del self._renewers[name]
+            self._renewer_tasks.pop(name).cancel()
+
+    async def _raise_stale_epoch(self) -> None:
+        """Acquire a higher epoch whenever a worker of this pool has seen one."""
         while True:
-            await self._context.stale.wait()
+            await self._context.epoch_stale.wait()
             with suppress(StoreUnavailable):
                 await self._context.lease.raise_epoch()
-            self._context.stale.clear()
-            await asyncio.sleep(RAISE_EPOCH_S)
+            self._context.epoch_stale.clear()
+            await asyncio.sleep(RAISE_EPOCH_INTERVAL_S)
 
 
-async def _wait(event: asyncio.Event, timeout_s: float) -> None:
+async def _wait_for_event(event: asyncio.Event, timeout_s: float) -> None:
     with suppress(TimeoutError):
         async with asyncio.timeout(timeout_s):
             await event.wait()
--- a/libs/gangs/src/bilberryhitch_gangs/settled_commit.py
+++ b/libs/gangs/src/bilberryhitch_gangs/commit_resolution.py
@@ -1,4 +1,4 @@
-"""Transactions whose outcome is looked into until it is certain."""
+"""Commits whose outcome is resolved when the store's answer is lost."""
 
 import asyncio
 from collections.abc import Sequence
@@ -12,21 +12,23 @@
 from bilberryhitch_platform import Expect, TableService, Write, abandon, commit
 from expression import Ok, Result
 
-STORE_RETRY_S = 0.5
+STORE_RETRY_DELAY_S = 0.5
 
 
-async def commit_settled(
+async def commit_and_resolve(
     tables: TableService,
     expects: Sequence[Expect],
     writes: Sequence[Write],
     operation_id: str,
     deadline_s: float = float("inf"),
 ) -> Result[int, StoreConflict]:
-    """Apply a transaction and find out whether it applied.
+    """Commit a transaction; if the answer is lost, find out whether it applied.
 
-    :param deadline_s: how long a lost answer is looked into, in seconds
-    :raises StoreUnavailable: it was never applied and never will be
-    :raises StoreAnswerLost: still uncertain at the deadline
+    :param operation_id: identifies the transaction to the store
+    :param deadline_s: how long to try to resolve a lost answer, in seconds
+    :returns: the store revision of the commit, or the conflict
+    :raises StoreUnavailable: it was not applied and never will be
+    :raises StoreAnswerLost: the outcome is still unknown at the deadline
     """
     loop = asyncio.get_running_loop()
     until = loop.time() + deadline_s
@@ -36,11 +38,11 @@
         pass
     while loop.time() < until:
         try:
-            settled = await abandon(tables, operation_id)
+            abandoned = await abandon(tables, operation_id)
         except StoreError:
-            await asyncio.sleep(STORE_RETRY_S)
+            await asyncio.sleep(STORE_RETRY_DELAY_S)
             continue
-        if settled.is_ok():
+        if abandoned.is_ok():
             raise StoreUnavailable(operation_id)
-        return Ok(settled.error.revision)
+        return Ok(abandoned.error.revision)
     raise StoreAnswerLost(operation_id)
--- a/libs/gangs/src/bilberryhitch_gangs/gang_run.py
+++ b/libs/gangs/src/bilberryhitch_gangs/gang_run.py
@@ -1,4 +1,4 @@
-"""The life of one gang, from its placement to its outcome."""
+"""Lifecycle of one gang, from its placement to its outcome."""
 
 import asyncio
 
@@ -7,64 +7,64 @@
 from bilberryhitch_telemetry import events, log, metrics
 
 from .context import PlannerContext
-from .gang import Ending, Gang
+from .gang import EndReason, Gang
 from .gang_start import mark_started, release_all, reserve_all, start_all
 from .job_rows import JobRow, get_job
 from .reclaim import (
-    CANCELLED_BETWEEN,
+    CANCELLED_BETWEEN_ATTEMPTS,
     CANCELLED_QUEUED,
-    Verdict,
+    AttemptOutcome,
     checkpoint_all,
-    judge,
+    decide_outcome,
     stop_all,
 )
 
 
 async def launch(context: PlannerContext, start: Start) -> None:
-    """Start a gang and follow it to its end, or put the job back."""
+    """Start a gang and supervise it to its end; requeue the job if that fails."""
     gang = _prepare(context, start)
     if gang is None:
-        _put_back(context, start.job_id, "")
+        _requeue_unstarted(context, start.job_id, "")
         return
     context.add_gang(gang)
     failed_host = await reserve_all(context, gang)
-    if failed_host is not None or not await _mark(context, gang):
+    if failed_host is not None or not await _write_start_mark(context, gang):
         log(events.GANG_START_UNDONE, attempt=gang.attempt_id, host=failed_host)
         await release_all(context, gang)
         context.remove_gang(gang)
-        context.cool(failed_host or "")
-        _put_back(context, start.job_id, failed_host or "")
+        context.start_cooldown(failed_host or "")
+        _requeue_unstarted(context, start.job_id, failed_host or "")
         return
     log(events.GANG_RESERVED, attempt=gang.attempt_id, hosts=list(gang.members))
     await start_all(context, gang)
     if not gang.end.done():
         log(events.GANG_STARTED, attempt=gang.attempt_id, hosts=list(gang.members))
         context.scheduler.started(start.job_id, _loop_time())
-    await follow(context, gang)
+    await supervise(context, gang)
 
 
-async def follow(context: PlannerContext, gang: Gang) -> None:
-    """Wait for the gang's end and write what became of the job."""
-    ending = await gang.end
-    if ending.cause in ("lost", "unstarted"):
-        log(events.GANG_PARTIAL_STOPPED, attempt=gang.attempt_id, host=ending.host)
-    elif ending.cause == "evict":
+async def supervise(context: PlannerContext, gang: Gang) -> None:
+    """Wait for the gang's end, stop its tasks and write the job's outcome."""
+    reason = await gang.end
+    if reason.cause in ("lost", "unstarted"):
+        log(events.GANG_PARTIAL_STOPPED, attempt=gang.attempt_id, host=reason.host)
+    elif reason.cause == "evict":
         log(events.GANG_EVICTED, attempt=gang.attempt_id)
     saved = ""
-    if ending.cause == "evict" and gang.record.checkpoint:
+    if reason.cause == "evict" and gang.record.checkpoint:
         saved = await checkpoint_all(context, gang)
-    stops = await stop_all(context, gang)
-    _note_health(context, gang, ending)
-    verdict = judge(context, gang, ending, stops, saved)
+    answers = await stop_all(context, gang)
+    _record_health(context, gang, reason)
+    outcome = decide_outcome(context, gang, reason, answers, saved)
     row = await context.change_row(
-        gang.row, lambda found: _with_cancel(context, verdict, found)
+        gang.row, lambda current: _apply_cancellation(context, outcome, current)
     )
     context.remove_gang(gang)
-    _settle(context, gang, ending, row)
-    # A worker's result is the only proof of what ran, so it is released only
-    # after the row is written.
+    _report_outcome(context, gang, reason, row)
+    # The workers' results are the only evidence of what ran, so the leases are
+    # released only after the job row is written.
     await release_all(context, gang)
-    context.wake.set()
+    context.decision_due.set()
 
 
 def _prepare(context: PlannerContext, start: Start) -> Gang | None:
@@ -85,39 +85,39 @@
     return Gang(JobRow(record, row.revision), context.hosts)
 
 
-async def _mark(context: PlannerContext, gang: Gang) -> bool:
+async def _write_start_mark(context: PlannerContext, gang: Gang) -> bool:
     if gang.end.done():
         return False
     try:
         if await mark_started(context, gang):
             return True
-        fresh = await get_job(context.tables, gang.record.job_id)
+        current_row = await get_job(context.tables, gang.record.job_id)
     except StoreUnavailable:
         return False
-    if fresh is not None:
-        context.note_row(fresh)
+    if current_row is not None:
+        context.update_row(current_row)
     return False
 
 
-def _put_back(context: PlannerContext, job_id: str, host: str) -> None:
-    """Queue a job again that got no start mark, unless it ended meanwhile."""
+def _requeue_unstarted(context: PlannerContext, job_id: str, host: str) -> None:
+    """Requeue a job without a start mark, unless it has finished meanwhile."""
     context.scheduler.start_failed(job_id, host, _loop_time())
     row = context.rows.get(job_id)
     if row is None or row.record.state == "finished":
         context.scheduler.cancel(job_id)
         context.forget_job(job_id)
-    context.wake.set()
+    context.decision_due.set()
 
 
-def _with_cancel(
-    context: PlannerContext, verdict: Verdict, found: JobRecord
+def _apply_cancellation(
+    context: PlannerContext, outcome: AttemptOutcome, current: JobRecord
 ) -> JobRecord:
-    """Apply the verdict to the row found, which may ask to cancel by now."""
-    record = verdict.record._replace(cancel=found.cancel)
-    if not (found.cancel and verdict.requeued):
+    """Return the outcome's record; a pending cancellation finishes a requeued job."""
+    record = outcome.record._replace(cancel=current.cancel)
+    if not (current.cancel and outcome.requeued):
         return record
-    detail = CANCELLED_BETWEEN
-    if verdict.unstarted and record.attempt == 1:
+    detail = CANCELLED_BETWEEN_ATTEMPTS
+    if outcome.unstarted and record.attempt == 1:
         detail = CANCELLED_QUEUED
     return record._replace(
         state="finished",
@@ -127,21 +127,21 @@
     )
 
 
-def _note_health(context: PlannerContext, gang: Gang, ending: Ending) -> None:
+def _record_health(context: PlannerContext, gang: Gang, reason: EndReason) -> None:
     for name, state in gang.members.items():
         if state.done:
             context.health.task_finished(name)
-    if ending.cause not in ("failed", "unstarted"):
+    if reason.cause not in ("failed", "unstarted"):
         return
-    if context.health.task_failed(ending.host, gang.record.job_id):
-        context.scheduler.quarantine(ending.host)
-        log(events.WORKER_QUARANTINED, host=ending.host)
+    if context.health.task_failed(reason.host, gang.record.job_id):
+        context.scheduler.quarantine(reason.host)
+        log(events.WORKER_QUARANTINED, host=reason.host)
 
 
-def _settle(
-    context: PlannerContext, gang: Gang, ending: Ending, row: JobRow | None
+def _report_outcome(
+    context: PlannerContext, gang: Gang, reason: EndReason, row: JobRow | None
 ) -> None:
-    """Tell the scheduler what became of the job."""
+    """Report the job's outcome to the scheduler."""
     job_id = gang.record.job_id
     if row is None or row.record.state == "finished":
         if row is not None:
@@ -152,13 +152,13 @@
         context.scheduler.finished(job_id, _loop_time(), completed=completed)
         context.forget_job(job_id)
         return
-    context.note_row(row)
-    log(events.JOB_REQUEUED, job_id=job_id, cause=ending.cause)
-    if ending.cause == "evict":
+    context.update_row(row)
+    log(events.JOB_REQUEUED, job_id=job_id, cause=reason.cause)
+    if reason.cause == "evict":
         context.scheduler.evicted(job_id, _loop_time())
     else:
-        context.cool(ending.host)
-        context.scheduler.start_failed(job_id, ending.host, _loop_time())
+        context.start_cooldown(reason.host)
+        context.scheduler.start_failed(job_id, reason.host, _loop_time())
 
 
 def _log_outcome(record: JobRecord) -> None:
--- a/libs/gangs/src/bilberryhitch_gangs/gang_start.py
+++ b/libs/gangs/src/bilberryhitch_gangs/gang_start.py
@@ -1,4 +1,4 @@
-"""Two-phase start of a gang: reserve everywhere, mark, start everywhere."""
+"""Two-phase start of a gang: reserve on all workers, write the mark, start all."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,20 +7,20 @@
 from bilberryhitch_platform import Expect
 
 from .context import WORKER_ERRORS, PlannerContext
-from .gang import TERM_S, Ending, Gang, MemberState
+from .gang import TERM_S, EndReason, Gang, MemberState
 from .job_rows import JobRow, job_key, put_job
 from .worker_client import LeaseView, Reservation
 
 
 async def reserve_all(context: PlannerContext, gang: Gang) -> str | None:
-    """Reserve a lease on every worker; nothing runs yet.
+    """Reserve a lease on every worker without starting a task.
 
-    :returns: a worker that did not confirm, or ``None`` when all did
+    :returns: a worker that did not confirm, or ``None`` if all did
     """
     answers = await _on_members(gang, lambda state: _reserve(context, gang, state))
     for host, answer in zip(gang.members, answers, strict=True):
         if not isinstance(answer, LeaseView):
-            note_stale(context, answer)
+            flag_stale_epoch(context, answer)
             return host
     leases = [answer for answer in answers if isinstance(answer, LeaseView)]
     gang.set_boot_ids([lease.boot_id for lease in leases])
@@ -28,11 +28,12 @@
 
 
 async def mark_started(context: PlannerContext, gang: Gang) -> bool:
-    """Write the start mark.
+    """Write the start mark, which records the attempt in the job row.
 
-    The transaction expects the revisions of the job row and of the planner
-    row, so it fails for a cancelled job and for a planner that was replaced.
+    The transaction expects the revisions of the job row and of the lease row, so
+    it fails for a cancelled job and for a planner that was replaced.
 
+    :returns: whether the mark was written
     :raises PlannerLost: another planner has taken over
     :raises StoreUnavailable: the mark was not written and never will be
     """
@@ -42,31 +43,34 @@
     if result.is_error():
         return False
     gang.row = JobRow(record, result.ok)
-    context.note_row(gang.row)
+    context.update_row(gang.row)
     return True
 
 
 async def start_all(context: PlannerContext, gang: Gang) -> None:
-    """Start every task; a member that does not confirm ends the gang."""
+    """Start every task; the gang ends if a worker does not confirm."""
     sent_at = asyncio.get_running_loop().time()
     answers = await _on_members(gang, lambda state: _start(context, gang, state))
     gang.running = True
     gang.running_since = asyncio.get_running_loop().time()
     for host in gang.members:
-        context.gang_started(host).set()
+        context.gang_started_event(host).set()
     for state, answer in zip(gang.members.values(), answers, strict=True):
         if isinstance(answer, LeaseView):
             gang.observe_lease(state.host.name, answer.boot_id, answer, sent_at)
             continue
-        note_stale(context, answer)
+        flag_stale_epoch(context, answer)
         if isinstance(answer, WorkerRefused):
-            gang.finish(Ending("unstarted", state.host.name))
+            gang.finish(EndReason("unstarted", state.host.name))
         else:
-            gang.finish(Ending("lost", state.host.name))
+            gang.finish(EndReason("lost", state.host.name))
 
 
 async def release_all(context: PlannerContext, gang: Gang) -> None:
-    """Let every worker forget the leases; one that misses it is told later."""
+    """Release the gang's lease on every worker.
+
+    A lease whose release fails is released again at a later renewal.
+    """
     await _on_members(
         gang,
         lambda state: context.workers.release(
@@ -75,10 +79,10 @@
     )
 
 
-def note_stale(context: PlannerContext, answer: object) -> None:
-    """Have the epoch checked when a worker refused the current one."""
+def flag_stale_epoch(context: PlannerContext, answer: object) -> None:
+    """Request a new epoch if a worker has seen a higher one than the planner's."""
     if isinstance(answer, StaleToken) and answer.highest > context.lease.epoch:
-        context.stale.set()
+        context.epoch_stale.set()
 
 
 async def _reserve(
@@ -92,7 +96,7 @@
         shape.memory_gb * state.member.tasks,
         TERM_S,
     )
-    state.lease_sent(asyncio.get_running_loop().time(), TERM_S)
+    state.extend_lease_expiry(asyncio.get_running_loop().time(), TERM_S)
     return await context.workers.reserve(state.host, context.lease.epoch, wanted)
 
 
@@ -106,7 +110,7 @@
 async def _on_members(
     gang: Gang, call: Callable[[MemberState], Awaitable[LeaseView | None]]
 ) -> list[LeaseView | BaseException | None]:
-    """Call every member at once; failures of workers are returned in place."""
+    """Call every member concurrently; worker errors are returned in its place."""
 
     async def guarded(state: MemberState) -> LeaseView | BaseException | None:
         try:
--- a/libs/gangs/src/bilberryhitch_gangs/job_accept.py
+++ b/libs/gangs/src/bilberryhitch_gangs/job_accept.py
@@ -1,4 +1,4 @@
-"""Accepts jobs: one transaction with the claim of the caller's key."""
+"""Accepts jobs: writes the job and its idempotency key in one transaction."""
 
 from collections.abc import Callable, Sequence
 
@@ -24,19 +24,21 @@
 from bilberryhitch_platform import Expect, Put, TableService
 from expression import Error, Ok, Result
 
-from .job_checks import call_digest, check_call, check_fits
+from .commit_resolution import commit_and_resolve
 from .job_rows import ClaimRow, claim_key, get_job, job_key, make_job_id, put_job
-from .settled_commit import commit_settled
+from .job_validation import call_digest, check_call, check_capacity
 
-SETTLE_S = 3.0
+RESOLVE_TIMEOUT_S = 3.0
 
 AcceptError = NotRun | BadInput | ShapeImpossible | OutcomeUnknown
 
 
 class JobAcceptance:
-    """Checks calls and writes job rows.
+    """Validates calls and writes job rows.
 
-    :param hosts: returns every host known, in any state
+    :param tables_view: returns the configuration in force
+    :param hosts: returns every known host, in any state
+    :param now: returns wall-clock time in seconds
     """
 
     def __init__(
@@ -57,7 +59,7 @@
         self._new_id = new_id
 
     async def accept(self, call: JobCall) -> Result[JobRecord, AcceptError]:
-        """Write a job, or find the job that the call's key stands for."""
+        """Write a job, or return the job already accepted under the call's key."""
         tables = self._tables_view()
         if tables.revision == 0:
             return Error(NotRun("no configuration is in force yet"))
@@ -68,7 +70,7 @@
         hosts = self._workers_of(tables, route.pool)
         if not hosts:
             return Error(NotRun("no worker of the pool is known"))
-        fits = check_fits(call.shape, hosts)
+        fits = check_capacity(call.shape, hosts)
         if fits.is_error():
             return Error(fits.error)
         return await self._write(call, self._record(call, route, hosts))
@@ -76,7 +78,7 @@
     def _workers_of(self, tables: Tables, pool: str) -> list[Host]:
         """Return the pool's workers in the data centre that will run the job.
 
-        That is the accepting host's own, when the pool has workers in it.
+        This host's data centre is preferred if the pool has workers there.
         """
         row = tables.pools.get(pool)
         names = set(row.hosts if row is not None else ())
@@ -109,7 +111,7 @@
     async def _write(
         self, call: JobCall, record: JobRecord
     ) -> Result[JobRecord, AcceptError]:
-        """Write the job and the claim of its key in one transaction."""
+        """Write the job and its idempotency key in one transaction."""
         expects = [Expect(job_key(record.job_id), 0)]
         writes = [put_job(record)]
         if call.key:
@@ -118,17 +120,17 @@
             expects.append(Expect(name, 0))
             writes.append(Put(name, encode(claim)))
         try:
-            result = await commit_settled(
-                self._tables, expects, writes, self._new_id(), SETTLE_S
+            result = await commit_and_resolve(
+                self._tables, expects, writes, self._new_id(), RESOLVE_TIMEOUT_S
             )
         except StoreUnavailable:
             return Error(NotRun("the table service is unavailable"))
         except StoreAnswerLost:
             return Error(OutcomeUnknown(record.job_id, "the store's answer was lost"))
-        return Ok(record) if result.is_ok() else await self._first_job(call)
+        return Ok(record) if result.is_ok() else await self._claimed_job(call)
 
-    async def _first_job(self, call: JobCall) -> Result[JobRecord, AcceptError]:
-        """Return the job that claimed the call's key before."""
+    async def _claimed_job(self, call: JobCall) -> Result[JobRecord, AcceptError]:
+        """Return the job that was accepted earlier under the call's key."""
         name = claim_key(call.client_account, call.key)
         unknown = OutcomeUnknown(name, "the first call's job could not be read")
         try:
@@ -137,14 +139,14 @@
                 return Error(unknown)
             claim = decode(ClaimRow, row.value)
             if claim.digest != call_digest(call):
-                return Error(_other_work(call.key))
+                return Error(_key_reused(call.key))
             found = await get_job(self._tables, claim.job_id)
         except BadInput:
-            return Error(_other_work(call.key))
+            return Error(_key_reused(call.key))
         except StoreError:
             return Error(unknown)
         return Error(unknown) if found is None else Ok(found.record)
 
 
-def _other_work(key: str) -> BadInput:
+def _key_reused(key: str) -> BadInput:
     return BadInput("key", key, "was used for other work")
--- a/libs/gangs/src/bilberryhitch_gangs/job_rows.py
+++ b/libs/gangs/src/bilberryhitch_gangs/job_rows.py
@@ -1,4 +1,4 @@
-"""Rows of jobs and claims in the table service."""
+"""Rows of jobs and idempotency keys in the table service."""
 
 import re
 from typing import NamedTuple
@@ -7,18 +7,18 @@
 from bilberryhitch_model import JobRecord, decode, encode
 from bilberryhitch_platform import Put, Row, TableService
 
-NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
-JOB_ID_PARTS = 3
+NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
+JOB_ID_PART_COUNT = 3
 
 
 class JobRow(NamedTuple):
-    """A job record with the store revision that wrote it."""
+    """A job record with the store revision at which it was written."""
 
     record: JobRecord
     revision: int
 
 
-class JobPlace(NamedTuple):
+class JobIdParts(NamedTuple):
     """The parts of a job id."""
 
     data_centre: str
@@ -27,9 +27,9 @@
 
 
 class ClaimRow(NamedTuple):
-    """The job that a caller's idempotency key stands for.
+    """The job that was accepted under a caller's idempotency key.
 
-    :param digest: digest of the call, to tell a retry from other work
+    :param digest: digest of the call, to tell a retry from a different call
     """
 
     job_id: str
@@ -41,12 +41,12 @@
     return f"{data_centre}.{pool}.{unique}"
 
 
-def parse_job_id(job_id: str) -> JobPlace | None:
-    """Return the parts of a job id, or ``None`` when it cannot be one."""
+def parse_job_id(job_id: str) -> JobIdParts | None:
+    """Return the parts of a job id, or ``None`` if the text is not a valid id."""
     parts = job_id.split(".")
-    if len(parts) != JOB_ID_PARTS or not all(map(NAME.fullmatch, parts)):
+    if len(parts) != JOB_ID_PART_COUNT or not all(map(NAME_PATTERN.fullmatch, parts)):
         return None
-    return JobPlace(*parts)
+    return JobIdParts(*parts)
 
 
 def pool_prefix(data_centre: str, pool: str) -> str:
@@ -61,14 +61,14 @@
 
 
 def claim_key(client_account: str, key: str) -> str:
-    """Return the row key of a caller's idempotency key."""
+    """Return the row key for an idempotency key of a client account."""
     return f"claims/{client_account}/{key}"
 
 
 def attempt_id(record: JobRecord) -> str:
     """Return the lease name of the record's current attempt.
 
-    The epoch keeps attempts of two planners apart that both reserved for the
+    The epoch distinguishes attempts of two planners that both reserved for the
     same attempt number before either wrote its start mark.
     """
     return f"{record.job_id}/{record.attempt}/{record.epoch}"
@@ -93,7 +93,7 @@
 
 
 async def get_job(tables: TableService, job_id: str) -> JobRow | None:
-    """Return the job's row, or ``None`` when there is none.
+    """Return the job's row, or ``None`` if there is none.
 
     :raises StoreUnavailable: the store did not answer
     """
@@ -104,32 +104,33 @@
 async def scan_jobs(
     tables: TableService, prefix: str, since: int, *, unfinished: bool = False
 ) -> tuple[list[JobRow], int]:
-    """Return job rows written after ``since``, with the revision to go on from.
+    """Return job rows written after a revision, and the revision for the next scan.
 
-    Rows written while pages are read may appear again in the next scan.
+    Rows written during the scan may appear again in the next one.
 
-    :param unfinished: leave out finished jobs, which far outnumber the others
+    :param since: store revision; 0 for all rows
+    :param unfinished: skip finished jobs, which far outnumber the others
     :raises StoreUnavailable: the store did not answer
     """
     page = await tables.scan(prefix, since)
-    upto = page.revision
+    revision = page.revision
     rows: list[JobRow] = []
     while True:
         wanted = (row for row in page.rows if not (unfinished and _is_finished(row)))
         rows.extend(map(read_row, wanted))
         if not page.more:
-            return rows, upto
+            return rows, revision
         page = await tables.scan(prefix, since, after=page.rows[-1].key)
 
 
-class _Stage(msgspec.Struct):
-    """The one field that is read of a row before the whole is decoded."""
+class _JobState(msgspec.Struct):
+    """The only field of a job row needed to skip it without decoding the rest."""
 
     state: str = ""
 
 
 def _is_finished(row: Row) -> bool:
     try:
-        return msgspec.json.decode(row.value, type=_Stage).state == "finished"
+        return msgspec.json.decode(row.value, type=_JobState).state == "finished"
     except msgspec.MsgspecError:
         return False
--- a/libs/gangs/src/bilberryhitch_gangs/jobs.py
+++ b/libs/gangs/src/bilberryhitch_gangs/job_service.py
@@ -1,4 +1,4 @@
-"""The job service of an entry host: accept, look up, wait, cancel, explain."""
+"""The job service of an entry host: accept, get, wait, cancel and explain."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -36,7 +36,8 @@
 from bilberryhitch_telemetry import events, log, metrics
 from expression import Error, Ok, Result
 
-from .job_accept import SETTLE_S, AcceptError, JobAcceptance
+from .commit_resolution import commit_and_resolve
+from .job_accept import RESOLVE_TIMEOUT_S, AcceptError, JobAcceptance
 from .job_rows import (
     JobRow,
     get_job,
@@ -44,42 +45,44 @@
     parse_job_id,
     put_job,
 )
-from .job_waits import JobWaits
+from .job_waiters import JobWaiters
 from .planner_lease import PlannerRow, planner_key
-from .reclaim import CANCELLED_BETWEEN, CANCELLED_QUEUED
-from .settled_commit import commit_settled
+from .reclaim import CANCELLED_BETWEEN_ATTEMPTS, CANCELLED_QUEUED
 
-# A stop is certain one lease term and one call time-out after the last renewal.
-CANCEL_WAIT_S = 12.0
+# A task has certainly stopped one lease term (10 s) and one call timeout (1 s)
+# after the last renewal.
+CANCEL_TIMEOUT_S = 12.0
 EXPLAIN_TIMEOUT_S = 1.0
-WAIT_POLL_S = 1.0
+WAIT_POLL_INTERVAL_S = 1.0
 
 
 class LocalPlanners(Protocol):
     """The planners of this process."""
 
     def wake(self, job_id: str) -> None:
-        """Have the job's planner look at the job rows now."""
+        """Make the job's planner read the job rows now."""
 
     def explain(self, job_id: str) -> Explanation | None:
-        """Return the explanation when this process plans the job."""
+        """Explain a job's state; ``None`` if this process does not plan the job."""
 
 
-class Link(Protocol):
-    """What is used of the link between entry hosts."""
+class PeerChannel(Protocol):
+    """Peer link operations that the job service needs."""
 
     def send(self, host: str, message: Message) -> bool:
-        """Queue a message; false when it is not queued."""
+        """Queue a message; return whether it was queued."""
 
     async def call(self, host: str, message: Message, timeout_s: float) -> Message:
-        """Send a message and wait for its answer."""
+        """Send a message and return its answer."""
 
 
 class JobService:
-    """Jobs for callers; every answer rests on the job's row in the store.
+    """Serves callers' job operations; every answer comes from the job's row.
 
-    :param hosts: returns every host known, in any state
-    :param entry_hosts: returns the live entry hosts of a data centre
+    :param tables_view: returns the configuration in force
+    :param hosts: returns every known host, in any state
+    :param entry_hosts: returns the names of the live entry hosts of a data centre
+    :param now: returns wall-clock time in seconds
     """
 
     def __init__(
@@ -91,7 +94,7 @@
         hosts: Callable[[], Sequence[Host]],
         entry_hosts: Callable[[str], Sequence[str]],
         planners: LocalPlanners,
-        link: Link,
+        link: PeerChannel,
         now: Callable[[], float],
         new_id: Callable[[], str],
     ) -> None:
@@ -110,22 +113,22 @@
         self._link = link
         self._now = now
         self._new_id = new_id
-        self._waits = JobWaits()
+        self._waiters = JobWaiters()
         self._closed = False
 
     async def start(self) -> None:
-        """Take calls."""
+        """Begin to accept jobs."""
         self._closed = False
 
     async def close(self) -> None:
-        """Refuse new jobs and let waiting calls answer with what is known."""
+        """Refuse new jobs and make waiting calls return the current state."""
         self._closed = True
-        self._waits.wake_all()
+        self._waiters.wake_all()
 
     async def accept(self, call: JobCall) -> Result[JobRecord, AcceptError]:
         """Accept a job durably.
 
-        A call with a key that was used before returns the first call's job.
+        A call whose idempotency key was used before returns the first call's job.
 
         :returns: the job, or why there is none; ``OutcomeUnknown`` carries the
             id under which the job will be found if it was accepted
@@ -138,36 +141,36 @@
             log(events.JOB_ACCEPTED, job_id=record.job_id, route=record.route)
             metrics.JOBS_ACCEPTED.add(1, {"pool": record.pool})
             notice = JobNotice(record.job_id, record.state)
-            self._tell_planner(record.job_id, notice)
+            self._notify_planners(record.job_id, notice)
         return accepted
 
     async def get(self, job_id: str) -> Result[JobRecord, NotFound | StoreError]:
-        """Return the job as its row has it."""
+        """Return the job as stored in its row."""
         found = await self._find(job_id)
         return Ok(found.ok.record) if found.is_ok() else Error(found.error)
 
     async def wait(
         self, job_id: str, timeout_s: float
     ) -> Result[JobRecord, NotFound | StoreError]:
-        """Return the job once it is finished, or as it is after ``timeout_s``."""
+        """Return the job once it is finished, or its state after ``timeout_s``."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + timeout_s
+        deadline = loop.time() + timeout_s
         while True:
             found = await self.get(job_id)
-            left = until - loop.time()
+            left = deadline - loop.time()
             done = found.is_ok() and found.ok.state == "finished"
             missing = found.is_error() and isinstance(found.error, NotFound)
             if done or missing or left <= 0 or self._closed:
                 return found
-            await self._waits.wait(job_id, min(left, WAIT_POLL_S))
+            await self._waiters.wait(job_id, min(left, WAIT_POLL_INTERVAL_S))
 
     async def cancel(
         self, job_id: str
     ) -> Result[JobRecord, NotFound | StoreError | OutcomeUnknown]:
         """Cancel a job that is not finished.
 
-        :returns: the finished record; its status tells whether it was cancelled
-            or had come to another end, and its detail whether it ever ran
+        :returns: the finished record; its status says whether it was cancelled
+            or ended otherwise, and its detail whether it ever ran
         """
         while True:
             found = await self._find(job_id)
@@ -177,15 +180,15 @@
             if row.record.state == "finished":
                 return Ok(row.record)
             if not row.record.cancel:
-                asked = await self._ask_cancel(row)
-                if asked is not None:
-                    return Error(asked)
+                error = await self._request_cancel(row)
+                if error is not None:
+                    return Error(error)
             if row.record.state == "started":
-                self._tell_planner(job_id, CancelJob(job_id))
+                self._notify_planners(job_id, CancelJob(job_id))
                 return await self._await_cancelled(job_id)
 
     async def explain(self, job_id: str) -> Result[Explanation, NotFound | StoreError]:
-        """Tell why the job is where it is."""
+        """Explain the job's state."""
         found = await self._find(job_id)
         if found.is_error():
             return Error(found.error)
@@ -203,10 +206,10 @@
         return Ok(Explanation(job_id, record.state, "no-planner", detail))
 
     async def handle(self, sender: str, message: Message) -> Message | None:
-        """Answer a message of another entry host."""
+        """Handle a message of another entry host; return the answer, if any."""
         if isinstance(message, JobNotice):
             self._planners.wake(message.job_id)
-            self._waits.wake(message.job_id)
+            self._waiters.wake(message.job_id)
             return None
         if isinstance(message, CancelJob):
             self._planners.wake(message.job_id)
@@ -219,9 +222,9 @@
         return None
 
     def changed(self, record: JobRecord) -> None:
-        """Tell every entry host of the data centre that a planner wrote the row."""
-        self._waits.wake(record.job_id)
-        self._tell_planner(record.job_id, JobNotice(record.job_id, record.state))
+        """Notify the entry hosts of the job's data centre of a new job row."""
+        self._waiters.wake(record.job_id)
+        self._notify_planners(record.job_id, JobNotice(record.job_id, record.state))
 
     async def _find(self, job_id: str) -> Result[JobRow, NotFound | StoreError]:
         if parse_job_id(job_id) is None:
@@ -232,22 +235,27 @@
             return Error(error)
         return Error(NotFound("job", job_id)) if row is None else Ok(row)
 
-    async def _ask_cancel(self, row: JobRow) -> StoreError | OutcomeUnknown | None:
-        """Write the cancellation; a conflict shows when the row is read again."""
+    async def _request_cancel(self, row: JobRow) -> StoreError | OutcomeUnknown | None:
+        """Write the cancellation to the job row.
+
+        On a conflict the caller reads the row again.
+        """
         record = row.record._replace(cancel=True)
         if record.state == "queued":
-            never = record.attempt == 0
+            never_attempted = record.attempt == 0
             record = record._replace(
                 state="finished",
                 status="cancelled",
-                detail=CANCELLED_QUEUED if never else CANCELLED_BETWEEN,
+                detail=CANCELLED_QUEUED
+                if never_attempted
+                else CANCELLED_BETWEEN_ATTEMPTS,
                 finished_at=self._now(),
             )
         expects = [Expect(job_key(record.job_id), row.revision)]
         writes = [put_job(record)]
         try:
-            await commit_settled(
-                self._tables, expects, writes, self._new_id(), SETTLE_S
+            await commit_and_resolve(
+                self._tables, expects, writes, self._new_id(), RESOLVE_TIMEOUT_S
             )
         except StoreUnavailable as error:
             return error
@@ -258,36 +266,36 @@
     async def _await_cancelled(
         self, job_id: str
     ) -> Result[JobRecord, NotFound | StoreError | OutcomeUnknown]:
-        found = await self.wait(job_id, CANCEL_WAIT_S)
+        found = await self.wait(job_id, CANCEL_TIMEOUT_S)
         if found.is_ok() and found.ok.state == "finished":
             return Ok(found.ok)
         reason = "cancellation was asked for and is not confirmed"
         return Error(OutcomeUnknown(job_id, reason))
 
     async def _explain_remote(self, job_id: str) -> Explanation | None:
-        place = parse_job_id(job_id)
-        if place is None:
+        parts = parse_job_id(job_id)
+        if parts is None:
             return None
         try:
-            row = await self._tables.get(planner_key(place.data_centre, place.pool))
+            row = await self._tables.get(planner_key(parts.data_centre, parts.pool))
             holder = "" if row is None else decode(PlannerRow, row.value).holder
             if holder in ("", self._identity.host):
                 return None
-            ask = ExplainAsk(job_id)
-            reply = await self._link.call(holder, ask, EXPLAIN_TIMEOUT_S)
+            message = ExplainAsk(job_id)
+            reply = await self._link.call(holder, message, EXPLAIN_TIMEOUT_S)
         except (StoreError, PeerUnsent, PeerTimeout):
             return None
         return reply.explanation if isinstance(reply, ExplainReply) else None
 
-    def _tell_planner(self, job_id: str, message: Message) -> None:
-        """Have the planner look at the row; it polls as well, so loss is harmless.
+    def _notify_planners(self, job_id: str, message: Message) -> None:
+        """Notify every entry host of the job's data centre, as any may be planner.
 
-        Every entry host of the data centre is told, because any may plan.
+        The planner also polls the rows, so a lost message only causes a delay.
         """
         self._planners.wake(job_id)
-        place = parse_job_id(job_id)
-        if place is None:
+        parts = parse_job_id(job_id)
+        if parts is None:
             return
-        for host in self._entry_hosts(place.data_centre):
+        for host in self._entry_hosts(parts.data_centre):
             if host != self._identity.host:
                 self._link.send(host, message)
--- a/libs/gangs/src/bilberryhitch_gangs/job_waits.py
+++ b/libs/gangs/src/bilberryhitch_gangs/job_waiters.py
@@ -1,17 +1,17 @@
-"""Callers that wait for a job to change."""
+"""Notification of callers that wait for a job to change."""
 
 import asyncio
 from contextlib import suppress
 
 
-class JobWaits:
-    """Events by job id, kept only while somebody waits."""
+class JobWaiters:
+    """Waiting callers by job id; an entry exists only while a caller waits."""
 
     def __init__(self) -> None:
         self._events: dict[str, set[asyncio.Event]] = {}
 
     async def wait(self, job_id: str, timeout_s: float) -> None:
-        """Return when the job is woken, or after ``timeout_s``."""
+        """Wait until the job is woken, at most ``timeout_s`` seconds."""
         event = asyncio.Event()
         events = self._events.setdefault(job_id, set())
         events.add(event)
@@ -25,11 +25,11 @@
                 del self._events[job_id]
 
     def wake(self, job_id: str) -> None:
-        """Wake everybody who waits for the job."""
+        """Wake every caller that waits for the job."""
         for event in self._events.get(job_id, ()):
             event.set()
 
     def wake_all(self) -> None:
-        """Wake everybody."""
+        """Wake every waiting caller."""
         for job_id in list(self._events):
             self.wake(job_id)
--- a/libs/gangs/src/bilberryhitch_gangs/planner.py
+++ b/libs/gangs/src/bilberryhitch_gangs/planner.py
@@ -1,4 +1,4 @@
-"""A candidate for the planner lease of one pool, and its planner."""
+"""Competes for the planner lease of one pool and plans while holding it."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,20 +8,21 @@
 from bilberryhitch_platform import TableService
 from bilberryhitch_telemetry import events, log
 
+from .active_planner import ActivePlanner, PoolView
 from .context import PlannerContext
 from .planner_lease import PlannerLease, PlannerLost
 from .pool_scheduler import SchedulerFactory
-from .tenure import PoolView, Tenure
 from .worker_client import WorkerClient
 
 
 class Planner:
-    """A candidate for the planner lease, and the planner once it holds it.
+    """Candidate for the planner lease of one pool; its planner once elected.
 
     :param view: returns the pool as it is now
     :param own_rank: returns this host's rank among the candidates, from 0
-    :param make_scheduler: makes the scheduler at each acquisition
-    :param on_change: called after this planner wrote a job's row
+    :param make_scheduler: makes a scheduler at each acquisition of the lease
+    :param now: returns wall-clock time in seconds
+    :param on_change: called after this planner has written a job's row
     """
 
     def __init__(
@@ -48,17 +49,17 @@
         self._now = now
         self._on_change = on_change
         self._lease = PlannerLease(identity, pool, tables, new_id=new_id)
-        self._tenure: Tenure | None = None
+        self._active_planner: ActivePlanner | None = None
         self._task: asyncio.Task[None] | None = None
 
     @property
     def planning(self) -> bool:
         """Whether this process holds the lease and has reconciled."""
-        return self._tenure is not None and self._tenure.ready
+        return self._active_planner is not None and self._active_planner.ready
 
     @property
     def task(self) -> "asyncio.Task[None] | None":
-        """The task of the planner, for callers that watch for its failure."""
+        """The task that runs the planner; it ends only by failure or ``close``."""
         return self._task
 
     async def start(self) -> None:
@@ -66,9 +67,9 @@
         self._task = asyncio.create_task(self.run())
 
     async def close(self) -> None:
-        """Finish starts under way, then offer the lease to the next candidate."""
-        if self._tenure is not None:
-            await self._tenure.leave()
+        """Complete the starts in progress, then release the lease."""
+        if self._active_planner is not None:
+            await self._active_planner.quiesce()
         if self._task is not None:
             self._task.cancel()
             with suppress(asyncio.CancelledError):
@@ -79,32 +80,32 @@
             log(events.PLANNER_RELEASED, pool=self._pool, epoch=self._lease.epoch)
 
     def wake(self) -> None:
-        """Look at the job rows now instead of at the next poll."""
-        if self._tenure is not None:
-            self._tenure.poll_now.set()
+        """Read the job rows now instead of at the next poll."""
+        if self._active_planner is not None:
+            self._active_planner.poll_now.set()
 
     def explain(self, job_id: str) -> Explanation | None:
-        """Tell why a job is where it is, or ``None`` when it is not known here."""
-        if self._tenure is None or not self._tenure.knows(job_id):
+        """Explain a job's state; ``None`` if this process does not plan the job."""
+        if self._active_planner is None or not self._active_planner.has_job(job_id):
             return None
-        return self._tenure.explain(job_id)
+        return self._active_planner.explain(job_id)
 
     async def run(self) -> None:
-        """Acquire, reconcile, plan until the lease is lost, and begin again."""
+        """Acquire the lease, plan until it is lost, and repeat."""
         while True:
             await self._lease.acquire(self._own_rank)
             log(events.PLANNER_ACQUIRED, pool=self._pool, epoch=self._lease.epoch)
             try:
-                await self._hold()
+                await self._plan_until_lost()
             except PlannerLost as lost:
                 log(events.PLANNER_LOST, pool=lost.pool, epoch=lost.epoch)
-            # A task group that fails while it is cancelled raises only the
-            # failure, so the cancellation has to be looked for.
+            # A task group that fails while it is being cancelled raises only the
+            # failure, so the cancellation is checked for explicitly.
             task = asyncio.current_task()
             if task is not None and task.cancelling():
                 raise asyncio.CancelledError
 
-    async def _hold(self) -> None:
+    async def _plan_until_lost(self) -> None:
         view = self._view()
         scheduler = self._make_scheduler(
             self._identity.data_centre, view.pool, view.hosts
@@ -122,15 +123,15 @@
                     spawn=group.create_task,
                     on_change=self._on_change,
                 )
-                self._tenure = Tenure(context, self._view, view)
-                group.create_task(self._lease.keep())
-                await self._tenure.run()
+                self._active_planner = ActivePlanner(context, self._view, view)
+                group.create_task(self._lease.renew_until_lost())
+                await self._active_planner.run()
         except* PlannerLost as lost:
-            raise _first(lost) from None
+            raise _first_leaf(lost) from None
         finally:
-            self._tenure = None
+            self._active_planner = None
 
 
-def _first(group: BaseExceptionGroup[PlannerLost]) -> PlannerLost:
+def _first_leaf(group: BaseExceptionGroup[PlannerLost]) -> PlannerLost:
     error = group.exceptions[0]
-    return _first(error) if isinstance(error, BaseExceptionGroup) else error
+    return _first_leaf(error) if isinstance(error, BaseExceptionGroup) else error
--- a/libs/gangs/src/bilberryhitch_gangs/planner_lease.py
+++ b/libs/gangs/src/bilberryhitch_gangs/planner_lease.py
@@ -1,4 +1,4 @@
-"""The lease row by which one planner per (data centre, pool) is elected."""
+"""Leader election of one planner per data centre and pool, by a row of the store."""
 
 import asyncio
 import hashlib
@@ -22,18 +22,20 @@
 )
 from expression import Result
 
-from .settled_commit import commit_settled
-from .transaction_batch import WaitingTransaction, take_batch
+from .commit_resolution import commit_and_resolve
+from .transaction_batch import PendingTransaction, take_batch
 
-LAPSE_S = 3.0
-RENEW_S = 1.0
-WATCH_S = 0.5
+# A lease whose row has not changed for this long has expired.
+LEASE_TIMEOUT_S = 3.0
+RENEW_INTERVAL_S = 1.0
+POLL_INTERVAL_S = 0.5
+# Candidates wait longer by rank, so that they do not all write at once.
 RANK_DELAY_S = 0.5
 EPOCH_KEY = "planners/epoch"
 
 
 class PlannerLost(BilberryhitchError):
-    """Another process holds the planner row now."""
+    """Another process has taken over the planner lease."""
 
     code = "planner_lost"
 
@@ -44,7 +46,11 @@
 
 
 class PlannerRow(NamedTuple):
-    """Who plans; an empty holder means that the lease was released."""
+    """Value of the lease row.
+
+    :param holder: entry host that holds the lease; empty once it is released
+    :param epoch: fencing token of the holder
+    """
 
     holder: str
     incarnation: str
@@ -57,7 +63,7 @@
 
 
 def rank(hosts: Iterable[str], data_centre: str, pool: str, host: str) -> int:
-    """Return the rendezvous rank of a candidate, from 0.
+    """Return the rank of a candidate by rendezvous hashing, from 0.
 
     Source: Thaler and Ravishankar, "Using name-based mappings to increase hit
     rates", 1998.
@@ -72,10 +78,10 @@
 
 
 class PlannerLease:
-    """Acquires, keeps and releases the planner row of one pool.
+    """Acquires, renews and releases the planner lease of one pool.
 
-    A holder gives up only when it finds another holder's row, never because
-    time passed: while the store is down it keeps its running gangs.
+    A holder gives up the lease only when it reads another holder's row, never
+    because time has passed: its gangs keep running while the store is down.
 
     :ivar store_up: whether the last transaction reached the store
     """
@@ -96,16 +102,16 @@
         self._row = PlannerRow("", "", 0)
         self._revision = 0
         self._held = False
-        self._written_at = 0.0
-        # Every transaction of the planner expects and rewrites the lease row,
-        # so two of them at once would make one conflict.
+        self._renewed_at = 0.0
+        # Every transaction expects and rewrites the lease row, so one of two
+        # concurrent transactions would always conflict.
         self._lock = asyncio.Lock()
-        self._waiting: list[WaitingTransaction] = []
+        self._pending: list[PendingTransaction] = []
         self.store_up = True
 
     @property
     def held(self) -> bool:
-        """Whether no other holder's row has been found since acquisition."""
+        """Whether the lease was acquired and no other holder's row was read since."""
         return self._held
 
     @property
@@ -114,35 +120,42 @@
         return self._row.epoch
 
     async def acquire(self, own_rank: Callable[[], int]) -> None:
-        """Wait until the row is free or has lapsed, and take it."""
+        """Wait until the lease is free or has expired, and acquire it.
+
+        :param own_rank: returns this host's rank among the candidates, from 0
+        """
         loop = asyncio.get_running_loop()
-        seen, since = -1, loop.time()
+        last_revision, unchanged_since = -1, loop.time()
         while True:
             try:
                 row = await self._tables.get(self._key)
             except StoreError:
-                # The holder cannot renew either while the store is down.
-                seen, since = -1, loop.time()
-                await asyncio.sleep(WATCH_S)
+                # The holder cannot renew while the store is down: wait a full timeout.
+                last_revision, unchanged_since = -1, loop.time()
+                await asyncio.sleep(POLL_INTERVAL_S)
                 continue
             revision = 0 if row is None else row.revision
-            if revision != seen:
-                seen, since = revision, loop.time()
-            delay = own_rank() * RANK_DELAY_S + (0.0 if _is_free(row) else LAPSE_S)
-            if loop.time() - since >= delay and await self._take(revision):
+            if revision != last_revision:
+                last_revision, unchanged_since = revision, loop.time()
+            delay = own_rank() * RANK_DELAY_S + (
+                0.0 if _is_free(row) else LEASE_TIMEOUT_S
+            )
+            if loop.time() - unchanged_since >= delay and await self._try_acquire(
+                revision
+            ):
                 return
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def keep(self) -> None:
-        """Renew the row until it is lost.
+    async def renew_until_lost(self) -> None:
+        """Renew the lease until it is lost.
 
-        :raises PlannerLost: another holder's row was found
+        :raises PlannerLost: another holder's row was read
         """
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(RENEW_S)
-            # Another transaction has just renewed the row as well.
-            if loop.time() - self._written_at < RENEW_S / 2:
+            await asyncio.sleep(RENEW_INTERVAL_S)
+            # Every transaction renews the lease; one has just been committed.
+            if loop.time() - self._renewed_at < RENEW_INTERVAL_S / 2:
                 continue
             try:
                 await self.transact((), ())
@@ -152,37 +165,42 @@
     async def transact(
         self, expects: Sequence[Expect], writes: Sequence[Write]
     ) -> Result[int, StoreConflict]:
-        """Apply a transaction only while this process holds the row.
+        """Commit a transaction on condition that this process holds the lease.
 
-        It renews the lease as well. Transactions that wait while another is on
-        its way share the next commit: with a slow store, a burst of starts
-        would otherwise outlive its reservations.
+        The commit also renews the lease. Transactions that arrive while a commit
+        is in flight share the next one: with a slow store, the reservations of a
+        burst of gang starts would otherwise expire before their turn.
 
-        :raises PlannerLost: another holder's row was found; nothing was written
+        :returns: the store revision of the commit, or the conflict
+        :raises PlannerLost: another holder's row was read and nothing was
+            written, or the commit was cancelled in flight
         :raises StoreUnavailable: nothing was written
         """
-        own = WaitingTransaction(expects, writes)
-        self._waiting.append(own)
-        while not own.decided:
+        transaction = PendingTransaction(expects, writes)
+        self._pending.append(transaction)
+        while not transaction.completed:
             async with self._lock:
-                if not own.decided:
-                    await self._run_batch(take_batch(self._waiting))
-        return own.outcome()
+                if not transaction.completed:
+                    await self._run_batch(take_batch(self._pending))
+        return transaction.outcome()
 
     async def raise_epoch(self) -> None:
-        """Take the next epoch while holding the row.
+        """Acquire the next epoch while holding the lease.
 
-        A worker that came from another pool may have seen a higher token.
+        A worker that was moved from another pool may have seen a higher token.
 
-        :raises PlannerLost: another holder's row was found
+        :raises PlannerLost: another holder's row was read
         :raises StoreUnavailable: nothing was written
         """
         async with self._lock:
-            await self._confirm()
-            await self._take(self._revision)
+            await self._refresh_revision()
+            await self._try_acquire(self._revision)
 
     async def release(self) -> None:
-        """Offer the row to the next candidate at once, if the store answers."""
+        """Release the lease, so that the next candidate need not wait for its expiry.
+
+        If the store does not answer, the lease is left to expire.
+        """
         if not self._held:
             return
         async with self._lock:
@@ -195,35 +213,35 @@
             except StoreError:
                 return
 
-    async def _run_batch(self, batch: list[WaitingTransaction]) -> None:
-        """Decide every transaction of a batch."""
+    async def _run_batch(self, batch: list[PendingTransaction]) -> None:
+        """Commit a batch and set the result or error of every transaction."""
         expects = [expect for each in batch for expect in each.expects]
         writes = [write for each in batch for write in each.writes]
         try:
             result = await self._transact_held(expects, writes)
             for each in batch:
-                # A conflict of one refuses all; the others are tried alone.
+                # One conflict fails the whole commit, so each is retried alone.
                 if result.is_error() and len(batch) > 1:
                     each.result = await self._transact_held(each.expects, each.writes)
                 else:
                     each.result = result
         except (PlannerLost, StoreUnavailable) as error:
-            _refuse(batch, error)
+            _fail_pending(batch, error)
         except asyncio.CancelledError:
-            # What was on its way may have applied. Losing the tenure makes the
-            # planner read every row again.
-            _refuse(batch, PlannerLost(self._pool, self._row.epoch))
+            # The commit in flight may have been applied. PlannerLost makes the
+            # planner acquire the lease again and re-read every row.
+            _fail_pending(batch, PlannerLost(self._pool, self._row.epoch))
             raise
 
     async def _transact_held(
         self, expects: Sequence[Expect], writes: Sequence[Write]
     ) -> Result[int, StoreConflict]:
-        """Apply a transaction, again if only this process's own row moved."""
+        """Commit a transaction; retry if only the own lease row has a new revision."""
         while True:
             result = await self._transact_once(expects, writes)
             if result.is_ok() or result.error.key != self._key:
                 return result
-            await self._confirm()
+            await self._refresh_revision()
 
     async def _transact_once(
         self, expects: Sequence[Expect], writes: Sequence[Write]
@@ -233,7 +251,7 @@
         all_expects = (*expects, Expect(self._key, self._revision))
         all_writes = (*writes, Put(self._key, encode(self._row)))
         try:
-            result = await commit_settled(
+            result = await commit_and_resolve(
                 self._tables, all_expects, all_writes, self._new_id()
             )
         except StoreUnavailable:
@@ -244,24 +262,32 @@
             self._set_revision(result.ok)
         return result
 
-    async def _confirm(self) -> None:
-        """Go on from the row's revision if it is still this process's row."""
+    async def _refresh_revision(self) -> None:
+        """Read the revision of the lease row.
+
+        :raises PlannerLost: the row is another holder's
+        """
         row = await self._tables.get(self._key)
         if row is None or decode(PlannerRow, row.value) != self._row:
             self._held = False
             raise PlannerLost(self._pool, self._row.epoch)
         self._revision = row.revision
 
-    async def _take(self, revision: int) -> bool:
+    async def _try_acquire(self, revision: int) -> bool:
         try:
             counter = await self._tables.get(EPOCH_KEY)
-            last = 0 if counter is None else decode(int, counter.value)
-            counted = 0 if counter is None else counter.revision
+            last_epoch = 0 if counter is None else decode(int, counter.value)
+            counter_revision = 0 if counter is None else counter.revision
             identity = self._identity
-            row = PlannerRow(identity.host, identity.incarnation, last + 1)
-            expects = [Expect(self._key, revision), Expect(EPOCH_KEY, counted)]
-            writes = [Put(self._key, encode(row)), Put(EPOCH_KEY, encode(last + 1))]
-            result = await commit_settled(self._tables, expects, writes, self._new_id())
+            row = PlannerRow(identity.host, identity.incarnation, last_epoch + 1)
+            expects = [Expect(self._key, revision), Expect(EPOCH_KEY, counter_revision)]
+            writes = [
+                Put(self._key, encode(row)),
+                Put(EPOCH_KEY, encode(last_epoch + 1)),
+            ]
+            result = await commit_and_resolve(
+                self._tables, expects, writes, self._new_id()
+            )
         except StoreError:
             return False
         if result.is_error():
@@ -272,12 +298,12 @@
 
     def _set_revision(self, revision: int) -> None:
         self._revision = revision
-        self._written_at = asyncio.get_running_loop().time()
+        self._renewed_at = asyncio.get_running_loop().time()
 
 
-def _refuse(batch: list[WaitingTransaction], error: BilberryhitchError) -> None:
+def _fail_pending(batch: list[PendingTransaction], error: BilberryhitchError) -> None:
     for each in batch:
-        if not each.decided:
+        if not each.completed:
             each.error = error
 
 
--- a/libs/gangs/src/bilberryhitch_gangs/planner_set.py
+++ b/libs/gangs/src/bilberryhitch_gangs/planner_set.py
@@ -1,4 +1,4 @@
-"""The planners that this entry host should run."""
+"""The planners that this entry host runs, one per pool."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -8,36 +8,38 @@
 from bilberryhitch_model import Explanation, Host, Identity, JobRecord, Pool, Tables
 from bilberryhitch_platform import TableService
 
+from .active_planner import PoolView
 from .job_rows import parse_job_id
 from .planner import Planner
 from .planner_lease import rank
 from .pool_scheduler import SchedulerFactory
-from .tenure import PoolView
 from .worker_client import WorkerClient
 
-WATCH_S = 1.0
-# Two stand-bys survive the loss of two hosts at once. More candidates would
-# only add reads of the lease row.
-CANDIDATES = 3
+SYNC_INTERVAL_S = 1.0
+# With two standby candidates, the loss of two hosts at once leaves one. More
+# candidates would only add reads of the lease row.
+CANDIDATES_PER_POOL = 3
 
 
-class Members(Protocol):
-    """What is used of the membership."""
+class MembershipView(Protocol):
+    """Membership queries that the planners need."""
 
     def entry_hosts(self, data_centre: str) -> Sequence[str]:
-        """Return the live entry hosts that are not leaving."""
+        """Return the names of the live entry hosts that are not leaving."""
 
     def endpoints(self, kind: str, data_centre: str) -> Sequence[Host]:
         """Return the endpoint hosts usable for new work."""
 
     def hosts(self) -> Sequence[Host]:
-        """Return every host known, in any state."""
+        """Return every known host, in any state."""
 
 
 class PlannerSet:
-    """Starts and closes planners as tables and membership change.
+    """Starts and closes planners as configuration and membership change.
 
-    :param on_change: called after a planner wrote a job's row
+    :param tables_view: returns the configuration in force
+    :param now: returns wall-clock time in seconds
+    :param on_change: called after a planner has written a job's row
     """
 
     def __init__(
@@ -47,7 +49,7 @@
         workers: WorkerClient,
         *,
         tables_view: Callable[[], Tables],
-        members: Members,
+        members: MembershipView,
         make_scheduler: SchedulerFactory,
         now: Callable[[], float],
         new_id: Callable[[], str],
@@ -67,20 +69,20 @@
 
     @property
     def pools(self) -> list[str]:
-        """Pools for which this process is a candidate or plans."""
+        """Pools for which this process is a candidate or the planner."""
         return sorted(self._planners)
 
     @property
     def planning(self) -> list[str]:
-        """Pools that this process plans."""
+        """Pools for which this process is the planner."""
         return sorted(pool for pool, each in self._planners.items() if each.planning)
 
     async def start(self) -> None:
-        """Become a candidate wherever this host should be one."""
-        self._task = asyncio.create_task(self._watch())
+        """Become a candidate for every pool for which this host ranks high enough."""
+        self._task = asyncio.create_task(self._sync_periodically())
 
     async def close(self) -> None:
-        """Hand over every planner lease."""
+        """Close every planner and release its lease."""
         if self._task is not None:
             self._task.cancel()
             with suppress(asyncio.CancelledError):
@@ -90,18 +92,18 @@
         self._planners.clear()
 
     def wake(self, job_id: str) -> None:
-        """Have the job's planner look at the job rows now."""
-        planner = self._planner_of(job_id)
+        """Make the job's planner read the job rows now."""
+        planner = self._planner_for(job_id)
         if planner is not None:
             planner.wake()
 
     def explain(self, job_id: str) -> Explanation | None:
-        """Return the explanation when this process plans the job."""
-        planner = self._planner_of(job_id)
+        """Explain a job's state; ``None`` if this process does not plan the job."""
+        planner = self._planner_for(job_id)
         return None if planner is None else planner.explain(job_id)
 
     async def sync(self) -> None:
-        """Start and close planners for the tables and membership of now."""
+        """Start and close planners to match the current configuration and members."""
         wanted = self._wanted()
         for pool, planner in list(self._planners.items()):
             failed = planner.task is None or planner.task.done()
@@ -113,7 +115,7 @@
             await self._planners[pool].start()
 
     def pool_view(self, name: str) -> PoolView:
-        """Return the pool with its workers in this data centre."""
+        """Return the pool and its workers in this data centre."""
         data_centre = self._identity.data_centre
         pool = self._tables_view().pools.get(name, Pool(name, "job"))
         named = set(pool.hosts)
@@ -126,10 +128,10 @@
         names = frozenset(host.name for host in usable) & {host.name for host in hosts}
         return PoolView(pool, hosts, names)
 
-    async def _watch(self) -> None:
+    async def _sync_periodically(self) -> None:
         while True:
             await self.sync()
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(SYNC_INTERVAL_S)
 
     def _wanted(self) -> set[str]:
         pools = self._tables_view().pools.values()
@@ -138,7 +140,7 @@
             for pool in pools
             if pool.work == "job"
             and self.pool_view(pool.name).hosts
-            and self._rank(pool.name) < CANDIDATES
+            and self._rank(pool.name) < CANDIDATES_PER_POOL
         }
 
     def _rank(self, pool: str) -> int:
@@ -146,11 +148,11 @@
         hosts = self._members.entry_hosts(data_centre)
         return rank(hosts, data_centre, pool, self._identity.host)
 
-    def _planner_of(self, job_id: str) -> Planner | None:
-        place = parse_job_id(job_id)
-        if place is None or place.data_centre != self._identity.data_centre:
+    def _planner_for(self, job_id: str) -> Planner | None:
+        parts = parse_job_id(job_id)
+        if parts is None or parts.data_centre != self._identity.data_centre:
             return None
-        return self._planners.get(place.pool)
+        return self._planners.get(parts.pool)
 
     def _make_planner(self, pool: str) -> Planner:
         return Planner(
--- a/libs/gangs/src/bilberryhitch_gangs/pool_scheduler.py
+++ b/libs/gangs/src/bilberryhitch_gangs/pool_scheduler.py
@@ -1,4 +1,4 @@
-"""What the planner needs of a scheduler of one pool."""
+"""Interface of the scheduler of one pool, as the planner uses it."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol
@@ -16,8 +16,8 @@
 from expression import Result
 
 
-class Dropped(Protocol):
-    """A job that a full queue dropped."""
+class DroppedJob(Protocol):
+    """A job that was dropped from a full queue."""
 
     @property
     def item(self) -> QueuedJob:
@@ -25,64 +25,64 @@
 
 
 class PoolScheduler(Protocol):
-    """Places the jobs of one pool in one data centre; times are loop seconds.
+    """Places the jobs of one pool in one data centre.
 
-    A job submitted stays known until ``cancel`` or ``finished``. ``decide``
-    takes a job out of the queue with a start; ``start_failed`` and ``evicted``
-    put it back.
+    Times are event loop times in seconds. A submitted job stays known until
+    ``cancel`` or ``finished``. ``decide`` removes a job from the queue when it
+    returns its start; ``start_failed`` and ``evicted`` queue it again.
     """
 
     def submit(
         self, job: QueuedJob, now: float
     ) -> Result[None, ShapeImpossible | QueueFull]:
-        """Queue a job."""
+        """Queue a job; return an error if it never fits or the queue is full."""
 
-    def take_dropped(self) -> Sequence[Dropped]:
-        """Return, once, the jobs that a full queue dropped; they never ran."""
+    def take_dropped(self) -> Sequence[DroppedJob]:
+        """Return jobs dropped from a full queue since the last call; none ever ran."""
 
     def shortfall(self) -> Sequence[GuaranteeShortfall]:
-        """Return the guaranteed cells that the hosts left cannot hold."""
+        """Return the guaranteed cells that the remaining hosts cannot provide."""
 
     def cancel(self, job_id: str) -> bool:
-        """Forget a queued job."""
+        """Remove a queued job; return whether it was queued."""
 
     def decide(self, now: float) -> Sequence[Decision]:
-        """Return what to start and what to evict now."""
+        """Return the jobs to start and to evict now."""
 
     def adopt(
         self, job: QueuedJob, placement: Placement, borrowed: bool, now: float
     ) -> None:
-        """Take over a job that is already running."""
+        """Register a job that is already running with its placement."""
 
     def started(self, job_id: str, now: float) -> None:
-        """Note that every task of the job runs."""
+        """Record that every task of the job is running."""
 
     def start_failed(self, job_id: str, host: str, now: float) -> None:
-        """Queue the job again; ``host`` is at fault unless it is empty."""
+        """Queue the job again; ``host`` is the worker at fault, or empty."""
 
     def finished(self, job_id: str, now: float, completed: bool = True) -> None:
-        """Forget a job that will not run again; estimates count completed runs."""
+        """Remove a finished job; only completed runs count in run time estimates."""
 
     def evicted(self, job_id: str, now: float) -> None:
-        """Queue a job again that was stopped."""
+        """Queue a job again after its eviction."""
 
     def host_lost(self, host: str) -> None:
-        """Place nothing on the host any more."""
+        """Stop placing jobs on a host."""
 
     def host_back(self, host: Host) -> None:
-        """Place jobs on the host again."""
+        """Resume placing jobs on a host."""
 
     def quarantine(self, host: str) -> None:
-        """Place nothing on a host that fails what it starts."""
+        """Place no jobs on a host that failed tasks or starts, until its release."""
 
     def release(self, host: str) -> None:
         """End the quarantine of a host."""
 
     def set_pool(self, pool: Pool) -> None:
-        """Adopt another revision of the pool's row."""
+        """Replace the pool's configuration."""
 
     def explain(self, job_id: str) -> Explanation:
-        """Tell why a job is where it is."""
+        """Explain a job's state."""
 
 
 SchedulerFactory = Callable[[str, Pool, Sequence[Host]], PoolScheduler]
--- a/libs/gangs/src/bilberryhitch_gangs/reconcile.py
+++ b/libs/gangs/src/bilberryhitch_gangs/reconcile.py
@@ -1,41 +1,44 @@
-"""What a planner does on taking over, before it decides anything."""
+"""Reconciliation after a takeover, before the first scheduling decision."""
 
 import asyncio
 
 from bilberryhitch_model import Host, JobRecord, Placement, QueuedJob
 from bilberryhitch_model.errors import StoreUnavailable
 
+from .commit_resolution import STORE_RETRY_DELAY_S
 from .context import WORKER_ERRORS, PlannerContext
 from .gang import TERM_S, Gang
-from .gang_run import follow
-from .gang_start import note_stale
+from .gang_run import supervise
+from .gang_start import flag_stale_epoch
 from .job_rows import JobRow, scan_jobs
-from .settled_commit import STORE_RETRY_S
 from .worker_client import WorkerView
 
 
 async def reconcile(context: PlannerContext, at: float) -> int:
-    """Read every unfinished job, fence the workers of started ones, adopt or end gangs.
+    """Read unfinished jobs, fence the workers of started ones, adopt or end gangs.
 
-    The rows are read after the lease row was taken, so no start mark of an
-    earlier planner can appear later. The workers are fenced before their
-    leases are judged, so no task of an earlier planner can start later.
+    The rows are read after the lease was acquired, so no start mark of a previous
+    planner can appear later. The workers are fenced before their leases are
+    evaluated, so no task of a previous planner can start later.
 
     :param at: loop time
     :returns: the store revision up to which rows were read
     """
-    rows, upto = await _read_rows(context)
+    rows, revision = await _read_rows(context)
     for row in rows:
-        context.note_row(row)
+        context.update_row(row)
     started = [row for row in rows if row.record.state == "started"]
     views = await _fence(context, started)
     for row in started:
         _adopt(context, row, views, at)
-    return upto
+    return revision
 
 
 def queued_job(record: JobRecord, at: float) -> QueuedJob:
-    """Return what the scheduler is told of a job."""
+    """Return the scheduler's view of a job.
+
+    :param at: loop time of submission
+    """
     return QueuedJob(
         record.job_id,
         record.client_account,
@@ -43,7 +46,7 @@
         record.caller,
         record.shape,
         record.urgency,
-        # Reclaim would end a job that can be neither repeated nor resumed.
+        # A job that can be neither repeated nor resumed would fail if it were evicted.
         may_borrow=record.idempotent or record.checkpoint,
         declared_s=record.declared_s,
         submitted_at=at,
@@ -53,29 +56,35 @@
 async def _read_rows(context: PlannerContext) -> tuple[list[JobRow], int]:
     while True:
         try:
-            return await scan_jobs(context.tables, context.prefix, 0, unfinished=True)
+            return await scan_jobs(
+                context.tables, context.row_prefix, 0, unfinished=True
+            )
         except StoreUnavailable:
-            await asyncio.sleep(STORE_RETRY_S)
+            await asyncio.sleep(STORE_RETRY_DELAY_S)
 
 
 async def _fence(
     context: PlannerContext, started: list[JobRow]
 ) -> dict[str, tuple[WorkerView, float] | None]:
-    """Present the epoch to every worker that holds a part of a gang."""
+    """Present the new epoch to every worker that holds a part of a gang.
+
+    :returns: by worker, its answer and the loop time at which the call was sent;
+        ``None`` if the worker did not answer
+    """
     names = {member.host for row in started for member in row.record.members}
     hosts = [context.host(name) for name in sorted(names)]
-    answers = await asyncio.gather(*(_fence_one(context, host) for host in hosts))
+    answers = await asyncio.gather(*(_fence_worker(context, host) for host in hosts))
     return {host.name: answer for host, answer in zip(hosts, answers, strict=True)}
 
 
-async def _fence_one(
+async def _fence_worker(
     context: PlannerContext, host: Host
 ) -> tuple[WorkerView, float] | None:
     sent_at = asyncio.get_running_loop().time()
     try:
         view = await context.workers.renew(host, context.lease.epoch, (), 0.0)
     except WORKER_ERRORS as error:
-        note_stale(context, error)
+        flag_stale_epoch(context, error)
         return None
     return view, sent_at
 
@@ -86,7 +95,7 @@
     views: dict[str, tuple[WorkerView, float] | None],
     at: float,
 ) -> None:
-    """Take over a started gang; what the workers answered may end it."""
+    """Adopt a started gang; it ends if the workers' answers show a loss."""
     record = row.record
     for member in record.members:
         context.host(member.host)
@@ -96,9 +105,9 @@
     placement = Placement(record.members, record.cell)
     context.scheduler.adopt(queued_job(record, at), placement, record.borrowed, at)
     for name, state in gang.members.items():
-        # The earlier planner may have renewed up to the moment it was replaced.
-        state.lease_sent(at, TERM_S)
+        # The previous planner may have renewed until it was replaced.
+        state.extend_lease_expiry(at, TERM_S)
         answer = views[name]
         if answer is not None:
             gang.observe(name, *answer)
-    context.spawn(follow(context, gang))
+    context.spawn(supervise(context, gang))
--- a/libs/gangs/src/bilberryhitch_gangs/transaction_batch.py
+++ b/libs/gangs/src/bilberryhitch_gangs/transaction_batch.py
@@ -1,4 +1,4 @@
-"""Transactions that wait for one another, and which of them can share a commit."""
+"""Batching of pending transactions into one commit."""
 
 from collections.abc import Sequence
 
@@ -6,14 +6,14 @@
 from bilberryhitch_platform import Expect, Write
 from expression import Result
 
-MAX_BATCH = 50
+MAX_BATCH_SIZE = 50
 
 
-class WaitingTransaction:
-    """A transaction that is not decided yet.
+class PendingTransaction:
+    """A transaction that waits for its commit.
 
-    :ivar result: what the store answered
-    :ivar error: why nothing was written
+    :ivar result: the store's answer
+    :ivar error: raised to the caller in place of a result
     """
 
     def __init__(self, expects: Sequence[Expect], writes: Sequence[Write]) -> None:
@@ -23,32 +23,32 @@
         self.error: BilberryhitchError | None = None
 
     @property
-    def decided(self) -> bool:
-        """Whether it was applied or certainly was not."""
+    def completed(self) -> bool:
+        """Whether the transaction has a result or an error."""
         return self.result is not None or self.error is not None
 
     def outcome(self) -> Result[int, StoreConflict]:
-        """Return the result of a decided transaction, or raise its error."""
+        """Return the result of a completed transaction, or raise its error."""
         if self.result is None:
-            raise self.error or RuntimeError("transaction is not decided")
+            raise self.error or RuntimeError("transaction is not completed")
         return self.result
 
 
-def take_batch(waiting: list[WaitingTransaction]) -> list[WaitingTransaction]:
-    """Remove and return, in order, transactions that may share a commit.
+def take_batch(waiting: list[PendingTransaction]) -> list[PendingTransaction]:
+    """Remove and return, in order, the transactions of the next commit.
 
-    Two transactions on the same row stay apart, since both could expect the same
-    revision and only one of them may apply.
+    Two transactions on the same row never share a commit: both could expect the
+    same revision, and only one of them may be applied.
     """
-    batch: list[WaitingTransaction] = []
-    keys: set[str] = set()
-    rest: list[WaitingTransaction] = []
+    batch: list[PendingTransaction] = []
+    seen_keys: set[str] = set()
+    remaining: list[PendingTransaction] = []
     for each in waiting:
-        own = {part.key for part in (*each.expects, *each.writes)}
-        if len(batch) < MAX_BATCH and not own & keys:
+        own_keys = {part.key for part in (*each.expects, *each.writes)}
+        if len(batch) < MAX_BATCH_SIZE and not own_keys & seen_keys:
             batch.append(each)
         else:
-            rest.append(each)
-        keys |= own
-    waiting[:] = rest
+            remaining.append(each)
+        seen_keys |= own_keys
+    waiting[:] = remaining
     return batch
--- a/libs/gangs/src/bilberryhitch_gangs/worker_client.py
+++ b/libs/gangs/src/bilberryhitch_gangs/worker_client.py
@@ -1,4 +1,4 @@
-"""Calls to workers: the protocol, its records and the HTTP client."""
+"""Calls to workers: the interface, its records and the HTTP client."""
 
 from collections.abc import Sequence
 from typing import Any, NamedTuple, Protocol, TypeVar
@@ -21,11 +21,12 @@
 
 
 class LeaseView(NamedTuple):
-    """What a worker reports of one lease.
+    """A worker's report of one lease.
 
     :param state: ``reserved``, ``running``, ``held`` at its checkpoint,
         ``finished``, ``failed``, ``stopped``, ``lapsed`` or ``absent``
     :param started: whether the task has started under the lease
+    :param boot_id: the worker's current boot
     """
 
     attempt_id: str
@@ -36,9 +37,10 @@
 
 
 class WorkerView(NamedTuple):
-    """Every lease on a worker.
+    """A worker's report of all its leases.
 
-    :param highest: highest token that the worker has seen
+    :param boot_id: the worker's current boot
+    :param highest: highest fencing token that the worker has seen
     """
 
     boot_id: str
@@ -47,7 +49,11 @@
 
 
 class Reservation(NamedTuple):
-    """What to hold on one worker; ``term_s`` in seconds, memory in GB."""
+    """Resources to reserve on one worker.
+
+    :param accelerators: indices of the accelerators
+    :param term_s: lease term in seconds
+    """
 
     attempt_id: str
     accelerators: tuple[int, ...]
@@ -57,41 +63,42 @@
 
 
 class WorkerClient(Protocol):
-    """Calls to workers, each bounded by a time-out.
+    """Calls to workers, each with a timeout.
 
-    Every call may raise :class:`StaleToken` (a higher token was seen),
-    :class:`WorkerRefused` (not done) or :class:`WorkerUnreachable` (it may have
-    been done).
+    ``token`` is the planner's fencing token. Every call may raise
+    :class:`StaleToken` (the worker has seen a higher token),
+    :class:`WorkerRefused` (without effect) or :class:`WorkerUnreachable` (it may
+    have had an effect).
     """
 
     async def reserve(self, host: Host, token: int, wanted: Reservation) -> LeaseView:
-        """Hold resources; nothing runs yet."""
+        """Reserve resources under a new lease; no task starts yet."""
 
     async def start_task(
         self, host: Host, token: int, attempt_id: str, run: str, saved: str
     ) -> LeaseView:
-        """Start the task, from the checkpoint ``saved`` when it is not empty."""
+        """Start the task, from the checkpoint ``saved`` unless it is empty."""
 
     async def renew(
         self, host: Host, token: int, attempt_ids: Sequence[str], term_s: float
     ) -> WorkerView:
-        """Extend leases and learn the state of every lease."""
+        """Renew the given leases; return the state of every lease."""
 
     async def checkpoint(
         self, host: Host, token: int, attempt_id: str, saved: str
     ) -> LeaseView:
-        """Save the task's state under ``saved`` and hold the task there."""
+        """Save the task's state under the key ``saved`` and suspend the task."""
 
     async def throttle(
         self, host: Host, token: int, attempt_id: str, speed: float
     ) -> LeaseView:
-        """Let the task run at a fraction of its speed."""
+        """Run the task at the fraction ``speed`` of its full speed."""
 
     async def stop(self, host: Host, token: int, attempt_id: str) -> LeaseView:
-        """End the lease and learn whether its task ever started."""
+        """End the lease; the answer says whether its task ever started."""
 
     async def release(self, host: Host, token: int, attempt_id: str) -> None:
-        """Let the worker forget the lease and its result."""
+        """Delete the lease and its result from the worker."""
 
     async def state(self, host: Host) -> WorkerView:
         """Return every lease, without presenting a token."""
@@ -100,7 +107,7 @@
 class HttpWorkerClient:
     """Worker client over HTTP with one connection pool for all workers.
 
-    :param timeout_s: bound of a whole call, in seconds
+    :param timeout_s: limit of a whole call, in seconds
     """
 
     def __init__(self, *, timeout_s: float = CALL_TIMEOUT_S) -> None:
@@ -120,14 +127,14 @@
             self._session = None
 
     async def reserve(self, host: Host, token: int, wanted: Reservation) -> LeaseView:
-        """Hold resources; nothing runs yet."""
+        """Reserve resources under a new lease; no task starts yet."""
         body = {"token": token, **wanted._asdict()}
         return await self._lease_call(host, "/v1/leases", body)
 
     async def start_task(
         self, host: Host, token: int, attempt_id: str, run: str, saved: str
     ) -> LeaseView:
-        """Start the task, from the checkpoint ``saved`` when it is not empty."""
+        """Start the task, from the checkpoint ``saved`` unless it is empty."""
         body = {"attempt_id": attempt_id, "token": token, "run": run}
         if saved:
             body["saved"] = saved
@@ -136,31 +143,31 @@
     async def renew(
         self, host: Host, token: int, attempt_ids: Sequence[str], term_s: float
     ) -> WorkerView:
-        """Extend leases and learn the state of every lease."""
+        """Renew the given leases; return the state of every lease."""
         body = {"token": token, "attempt_ids": list(attempt_ids), "term_s": term_s}
         return self._read(host, WorkerView, await self._call(host, "/v1/renew", body))
 
     async def checkpoint(
         self, host: Host, token: int, attempt_id: str, saved: str
     ) -> LeaseView:
-        """Save the task's state under ``saved`` and hold the task there."""
+        """Save the task's state under the key ``saved`` and suspend the task."""
         body = {"attempt_id": attempt_id, "token": token, "saved": saved}
         return await self._lease_call(host, "/v1/leases/checkpoint", body)
 
     async def throttle(
         self, host: Host, token: int, attempt_id: str, speed: float
     ) -> LeaseView:
-        """Let the task run at a fraction of its speed."""
+        """Run the task at the fraction ``speed`` of its full speed."""
         body = {"attempt_id": attempt_id, "token": token, "speed": speed}
         return await self._lease_call(host, "/v1/leases/throttle", body)
 
     async def stop(self, host: Host, token: int, attempt_id: str) -> LeaseView:
-        """End the lease and learn whether its task ever started."""
+        """End the lease; the answer says whether its task ever started."""
         body = {"attempt_id": attempt_id, "token": token}
         return await self._lease_call(host, "/v1/leases/stop", body)
 
     async def release(self, host: Host, token: int, attempt_id: str) -> None:
-        """Let the worker forget the lease and its result."""
+        """Delete the lease and its result from the worker."""
         body = {"attempt_id": attempt_id, "token": token}
         await self._call(host, "/v1/leases/release", body)
 
--- a/libs/gangs/src/bilberryhitch_gangs/worker_health.py
+++ b/libs/gangs/src/bilberryhitch_gangs/worker_health.py
@@ -1,12 +1,12 @@
-"""Which workers fail everything that they start."""
+"""Detection of workers on which tasks of different jobs fail."""
 
-QUARANTINE_JOBS = 2
+QUARANTINE_FAILED_JOBS = 2
 
 
 class WorkerHealth:
-    """Counts distinct jobs that failed on a worker since its last success.
+    """Counts the distinct jobs that failed on each worker since its last success.
 
-    One job is no evidence, because the job itself may be at fault.
+    Failures of one job do not quarantine a worker, as the job may be at fault.
     """
 
     def __init__(self) -> None:
@@ -15,24 +15,24 @@
 
     @property
     def quarantined(self) -> frozenset[str]:
-        """Workers that get no jobs until a probe succeeds."""
+        """Names of the workers that get no jobs until a probe succeeds."""
         return frozenset(self._quarantined)
 
     def task_failed(self, host: str, job_id: str) -> bool:
-        """Note a failure; returns whether the worker is quarantined by it."""
+        """Record a failure; return whether it puts the worker in quarantine."""
         jobs = self._failed.setdefault(host, set())
         jobs.add(job_id)
-        if host in self._quarantined or len(jobs) < QUARANTINE_JOBS:
+        if host in self._quarantined or len(jobs) < QUARANTINE_FAILED_JOBS:
             return False
         self._quarantined.add(host)
         return True
 
     def task_finished(self, host: str) -> None:
-        """Drop the evidence against a worker that ran a task to its end."""
+        """Reset the failures of a worker on which a task finished."""
         self._failed.pop(host, None)
 
     def clear_job(self, job_id: str) -> None:
-        """Drop the evidence from a job that was itself at fault."""
+        """Discard the failures of a job that was itself at fault."""
         for jobs in self._failed.values():
             jobs.discard(job_id)
 
--- a/libs/gangs/tests/test_tenure.py
+++ b/libs/gangs/tests/test_active_planner.py
@@ -24,7 +24,8 @@
 
 
 def test_higher_token_on_a_worker_raises_the_epoch(world):
-    # Guards against a worker from another pool that refuses this one for ever.
+    # Guards against a worker moved from another pool that refuses every call because
+    # it has seen a higher token.
     world.advance(3)
     for pool in ("p1", "p2", "p3"):
         identity = Identity("x", CENTRE, "x-1")
@@ -38,8 +39,8 @@
     assert record.status == "completed" and record.epoch > lease.epoch
 
 
-def test_worker_with_another_pools_task_is_left_alone(world):
-    # Guards against cutting a running task off from its own planner.
+def test_worker_with_a_task_of_another_pool_is_not_fenced(world):
+    # Guards against fencing off the planner of a running task.
     model = world.workers["w0"].model
     other = "ruwi.other.j/1/1"
     model.reserve(other, 1, accelerators=(0,), cores=1, memory_gb=1, term_s=40.0)
@@ -57,7 +58,8 @@
 
 
 def test_worker_that_fails_everything_is_quarantined_and_probed(world):
-    # Guards against jobs that fail for a worker, and a worker that stays out.
+    # Guards against jobs that fail because of a faulty worker, and a worker that
+    # stays in quarantine after its repair.
     world.advance(3)
     model = world.workers["w0"].model
     model.fail_everything = True
@@ -79,8 +81,9 @@
 @pytest.mark.parametrize(
     ("route", "attempts", "workers"), [("any", 2, 2), ("once", 1, 1)]
 )
-def test_failing_job_is_its_own_failure(world, route, attempts, workers):
-    # Guards against a faulty job that is tried without end, or billed twice.
+def test_failing_job_is_finished_without_quarantine(world, route, attempts, workers):
+    # Guards against a faulty job that is retried without limit, or run twice
+    # although it is not idempotent.
     world.advance(3)
     job = world.submit(world.call(route, seconds=1.0, fail=True)).ok.job_id
     world.advance(30)
@@ -93,8 +96,8 @@
     assert world.records()[again].status == "completed"
 
 
-def test_job_that_the_scheduler_refuses_is_not_run(world, monkeypatch):
-    # Guards against an accepted job that waits in no queue.
+def test_job_refused_by_the_scheduler_is_not_run(world, monkeypatch):
+    # Guards against an accepted job that is in no queue.
     full = Error(QueueFull("gpu", 1, 5.0))
     monkeypatch.setattr(FirstFit, "submit", lambda *_: full)
     world.advance(3)
@@ -104,8 +107,8 @@
     assert world.events() == []
 
 
-def test_restarted_worker_gives_the_job_its_next_attempt(world):
-    # Guards against a lost gang that is waited for.
+def test_job_is_retried_after_a_worker_restart(world):
+    # Guards against waiting for a gang that was lost with its worker.
     world.advance(3)
     job = world.submit(world.call(accelerators=4, seconds=4.0)).ok.job_id
     world.advance(2)
@@ -116,7 +119,7 @@
 
 
 def test_store_outage_keeps_gangs_and_delays_outcomes(world):
-    # Guards against gangs that end with the store, and outcomes that are lost.
+    # Guards against gangs that end when the store fails, and lost outcomes.
     world.advance(3)
     process = world.processes["a"]
     short = world.submit(world.call(accelerators=4, seconds=5.0)).ok.job_id
--- a/libs/gangs/tests/test_job_rows.py
+++ b/libs/gangs/tests/test_job_rows.py
@@ -4,9 +4,9 @@
 from tests.machines.world_point2_gangs import World
 
 
-def test_scan_of_many_pages_leaves_out_what_is_finished():
-    # Guards against a takeover that decodes every job there ever was, or misses
-    # a job behind a page of finished ones.
+def test_scan_of_several_pages_skips_finished_jobs():
+    # Guards against a takeover that decodes every finished job, or misses an
+    # unfinished job after a page of finished ones.
     world = World(processes=1, workers=1)
     record = world.submit(world.call()).ok
     world.processes["a"].kill()
@@ -15,9 +15,11 @@
     for number, state in enumerate(states):
         row = record._replace(job_id=f"ruwi.gpu.j{number:05}", state=state)
         world.run(world.store.transact([], [put_job(row)]))
-    rows, upto = world.run(scan_jobs(world.store, "jobs/ruwi/gpu/", 0, unfinished=True))
+    rows, revision = world.run(
+        scan_jobs(world.store, "jobs/ruwi/gpu/", 0, unfinished=True)
+    )
     assert [row.record.state for row in rows] == ["queued", "started"]
-    assert upto == world.store.revision
-    everything, _ = world.run(scan_jobs(world.store, "jobs/ruwi/gpu/", 0))
-    assert len(everything) == len(states)
+    assert revision == world.store.revision
+    all_rows, _ = world.run(scan_jobs(world.store, "jobs/ruwi/gpu/", 0))
+    assert len(all_rows) == len(states)
     world.close()
--- a/libs/gangs/tests/test_planner_lease.py
+++ b/libs/gangs/tests/test_planner_lease.py
@@ -2,13 +2,13 @@
 import itertools
 
 import pytest
+from bilberryhitch_gangs.commit_resolution import commit_and_resolve
 from bilberryhitch_gangs.planner_lease import (
     PlannerLease,
     PlannerLost,
     planner_key,
     rank,
 )
-from bilberryhitch_gangs.settled_commit import commit_settled
 from bilberryhitch_model import Identity
 from bilberryhitch_model.errors import StoreAnswerLost, StoreUnavailable
 from bilberryhitch_platform import Expect, MemoryTables, Put
@@ -30,44 +30,44 @@
     return PlannerLease(identity, "gpu", tables, new_id=lambda: next(ids))
 
 
-def take_over(loop, tables, host="b"):
+def acquire_lease(loop, tables, host="b"):
     lease = make_lease(tables, host)
     loop.run_until_complete(lease.acquire(lambda: 0))
     return lease
 
 
 def test_renews_every_second(loop):
-    # Guards against renewals that are skipped and bring the lapse near.
+    # Guards against skipped renewals, after which the lease may expire.
     tables = MemoryTables()
-    lease = take_over(loop, tables)
-    task = loop.create_task(lease.keep())
+    lease = acquire_lease(loop, tables)
+    task = loop.create_task(lease.renew_until_lost())
     before = tables.revision
     loop.advance(10.5)
     task.cancel()
     assert tables.revision - before == 10
 
 
-def test_candidate_waits_for_the_lapse_and_its_rank(loop):
-    # Guards against a take-over from a holder that still renews.
+def test_candidate_waits_for_expiry_and_its_rank_delay(loop):
+    # Guards against a takeover from a holder that still renews.
     tables = MemoryTables()
-    holder = take_over(loop, tables, "a")
-    task = loop.create_task(holder.keep())
+    holder = acquire_lease(loop, tables, "a")
+    task = loop.create_task(holder.renew_until_lost())
     other = make_lease(tables, "b")
     candidate = loop.create_task(other.acquire(lambda: 2))
     loop.advance(20)
     assert not other.held
     task.cancel()
-    since = loop.time()
+    cancelled_at = loop.time()
     loop.run_until_complete(candidate)
-    assert 3.0 <= loop.time() - since <= 5.0
+    assert 3.0 <= loop.time() - cancelled_at <= 5.0
     assert other.epoch > holder.epoch
 
 
 def test_replaced_holder_cannot_write(loop):
-    # Guards against a start mark of a planner that was replaced.
+    # Guards against a start mark written by a replaced planner.
     tables = MemoryTables()
-    old = take_over(loop, tables, "a")
-    take_over(loop, tables, "b")
+    old = acquire_lease(loop, tables, "a")
+    acquire_lease(loop, tables, "b")
     with pytest.raises(PlannerLost):
         loop.run_until_complete(old.transact((), [Put("x", b"")]))
     assert loop.run_until_complete(tables.get("x")) is None
@@ -75,21 +75,21 @@
 
 
 def test_lost_answer_of_a_renewal_does_not_lose_the_lease(loop):
-    # Guards against taking its own uncertain write for another holder's.
+    # Guards against mistaking an own write without an answer for another holder's.
     inner = MemoryTables()
     tables = FaultyTables(inner)
-    lease = take_over(loop, tables)
+    lease = acquire_lease(loop, tables)
     tables.lose_answers = 5
     assert loop.run_until_complete(lease.transact((), [Put("x", b"1")])).is_ok()
     assert loop.run_until_complete(lease.transact((), [Put("y", b"1")])).is_ok()
 
 
 def test_store_outage_neither_loses_nor_takes_the_lease(loop):
-    # Guards against a mass take-over when the store returns.
+    # Guards against takeovers of all pools when the store recovers.
     inner = MemoryTables()
     views = {name: FaultyTables(inner) for name in "ab"}
-    holder = take_over(loop, views["a"], "a")
-    task = loop.create_task(holder.keep())
+    holder = acquire_lease(loop, views["a"], "a")
+    task = loop.create_task(holder.renew_until_lost())
     other = make_lease(views["b"], "b")
     candidate = loop.create_task(other.acquire(lambda: 0))
     loop.advance(2)
@@ -105,59 +105,59 @@
         each.cancel()
 
 
-def test_release_lets_the_next_candidate_in_at_once(loop):
-    # Guards against waiting for the lapse on an orderly hand-over.
+def test_released_lease_is_acquired_without_waiting_for_expiry(loop):
+    # Guards against waiting for the expiry after an orderly release.
     tables = MemoryTables()
-    holder = take_over(loop, tables, "a")
+    holder = acquire_lease(loop, tables, "a")
     loop.run_until_complete(holder.release())
-    since = loop.time()
-    assert take_over(loop, tables, "b").epoch > holder.epoch
-    assert loop.time() - since < 1.0
+    released_at = loop.time()
+    assert acquire_lease(loop, tables, "b").epoch > holder.epoch
+    assert loop.time() - released_at < 1.0
 
 
-def test_raised_epoch_is_kept(loop):
-    # Guards against a higher token that the row does not show.
+def test_raised_epoch_is_written_to_the_lease_row(loop):
+    # Guards against a higher token that is missing in the lease row.
     tables = MemoryTables()
-    lease = take_over(loop, tables)
+    lease = acquire_lease(loop, tables)
     before = lease.epoch
     loop.run_until_complete(lease.raise_epoch())
     assert lease.epoch == before + 1
     assert loop.run_until_complete(lease.transact((), ())).is_ok()
 
 
-def test_unsettled_commit_says_so(loop):
-    # Guards against a lost answer that is reported as no effect.
+def test_unresolved_commit_raises_answer_lost(loop):
+    # Guards against a lost answer that is reported as not applied.
     tables = FaultyTables(MemoryTables())
     tables.lose_answers = 100
     with pytest.raises(StoreAnswerLost):
-        loop.run_until_complete(commit_settled(tables, [], [], "op", 2.0))
+        loop.run_until_complete(commit_and_resolve(tables, [], [], "op", 2.0))
 
 
-def test_abandoned_commit_is_no_effect(loop):
-    # Guards against an uncertain answer where certainty can be had.
-    class LosesBefore(FaultyTables):
+def test_abandoned_commit_raises_unavailable(loop):
+    # Guards against an unknown outcome where it can be resolved.
+    class LosesRequests(FaultyTables):
         async def transact(self, expects, writes):
             if self.lose_answers:
                 self.lose_answers -= 1
-                raise StoreAnswerLost("lost on the way there")
+                raise StoreAnswerLost("request lost")
             return await super().transact(expects, writes)
 
-    tables = LosesBefore(MemoryTables())
+    tables = LosesRequests(MemoryTables())
     tables.lose_answers = 3
     with pytest.raises(StoreUnavailable):
-        loop.run_until_complete(commit_settled(tables, [], [Put("x", b"")], "op"))
+        loop.run_until_complete(commit_and_resolve(tables, [], [Put("x", b"")], "op"))
 
 
 def test_ranks_are_a_permutation():
-    # Guards against two candidates of the same rank.
+    # Guards against two candidates with the same rank.
     hosts = [f"e{i}" for i in range(7)]
     assert sorted(rank(hosts, "ruwi", "gpu", host) for host in hosts) == list(range(7))
 
 
 def test_waiting_transactions_share_a_commit(loop):
-    # Guards against a burst of starts that outlives its reservations.
+    # Guards against reservations that expire during a burst of gang starts.
     tables = FaultyTables(MemoryTables())
-    lease = take_over(loop, tables)
+    lease = acquire_lease(loop, tables)
     tables.slow_s, before = 0.1, tables.writes
 
     async def burst():
@@ -169,10 +169,10 @@
     assert tables.writes - before == 2
 
 
-def test_conflict_of_one_transaction_leaves_the_others(loop):
-    # Guards against starts that are undone for another job's cancellation.
+def test_conflict_of_one_transaction_does_not_affect_the_others(loop):
+    # Guards against gang starts that fail because another job was cancelled.
     tables = FaultyTables(MemoryTables())
-    lease = take_over(loop, tables)
+    lease = acquire_lease(loop, tables)
     tables.slow_s = 0.1
 
     async def burst():
@@ -188,9 +188,9 @@
 
 
 def test_transactions_on_one_row_never_share_a_commit(loop):
-    # Guards against two changes that expect the same revision and both apply.
+    # Guards against applying two changes that expect the same revision.
     tables = FaultyTables(MemoryTables())
-    lease = take_over(loop, tables)
+    lease = acquire_lease(loop, tables)
     tables.slow_s = 0.1
 
     async def burst():
@@ -203,12 +203,12 @@
     assert sum(result.is_ok() for result in results) == 1
 
 
-def test_burst_of_a_replaced_holder_writes_nothing(loop):
-    # Guards against a shared commit that passes the check of the lease row.
+def test_batch_of_a_replaced_holder_writes_nothing(loop):
+    # Guards against a shared commit that does not expect the lease row.
     inner = MemoryTables()
     tables = FaultyTables(inner)
-    old = take_over(loop, tables, "a")
-    take_over(loop, inner, "b")
+    old = acquire_lease(loop, tables, "a")
+    acquire_lease(loop, inner, "b")
 
     async def burst():
         writes = [old.transact((), [Put(f"x{i}", b"")]) for i in range(5)]
--- a/libs/gangs/tests/test_worker_client.py
+++ b/libs/gangs/tests/test_worker_client.py
@@ -10,7 +10,7 @@
 
 
 def with_worker(test):
-    """Run ``test`` with a client, a host row and a stand-in on a real port."""
+    """Run ``test`` with a client, a host row and a simulated worker on a real port."""
 
     async def main():
         standin = WorkerStandin(HOST, lag_s=0.0)
@@ -31,8 +31,8 @@
     await client._call(host, "/faults", switches)
 
 
-def test_life_of_a_lease_over_http():
-    # Guards against a client and a stand-in that speak different protocols.
+def test_lease_lifecycle_over_http():
+    # Guards against different protocols of the client and the simulated worker.
     async def test(client, host, standin):
         wanted = Reservation("j/1/1", (0, 1), 1, 1, 5.0)
         reserved = await client.reserve(host, 3, wanted)
@@ -54,8 +54,8 @@
     with_worker(test)
 
 
-def test_refusals_are_typed():
-    # Guards against a refusal that is taken for an unknown outcome.
+def test_refusals_raise_typed_errors():
+    # Guards against a refusal that is reported as an unknown outcome.
     async def test(client, host, standin):
         await client.renew(host, 5, [], 1.0)
         with pytest.raises(StaleToken) as stale:
@@ -71,8 +71,8 @@
     with_worker(test)
 
 
-def test_no_answer_is_unreachable():
-    # Guards against a lost answer that is taken for a refusal.
+def test_lost_answer_raises_unreachable():
+    # Guards against a lost answer that is reported as a refusal.
     async def test(client, host, standin):
         await set_faults(client, host, lose_answers=1)
         with pytest.raises(WorkerUnreachable):
@@ -91,8 +91,8 @@
     with_worker(test)
 
 
-def test_closed_client_is_unreachable():
-    # Guards against a call on a closed pool that fails untyped.
+def test_closed_client_raises_unreachable():
+    # Guards against an untyped error from a call on a closed connection pool.
     async def test(client, host, standin):
         await client.close()
         with pytest.raises(WorkerUnreachable):
--- a/libs/gangs/tests/test_worker_health.py
+++ b/libs/gangs/tests/test_worker_health.py
@@ -1,8 +1,8 @@
 from bilberryhitch_gangs.worker_health import WorkerHealth
 
 
-def test_one_job_is_no_evidence_against_a_worker():
-    # Guards against a faulty job that takes workers out of service.
+def test_failures_of_one_job_do_not_quarantine_a_worker():
+    # Guards against a faulty job that puts workers in quarantine.
     health = WorkerHealth()
     assert not health.task_failed("w0", "j1")
     assert not health.task_failed("w0", "j1")
@@ -12,8 +12,8 @@
     assert not health.quarantined
 
 
-def test_success_and_faulty_jobs_clear_evidence():
-    # Guards against rare failures that add up to a quarantine.
+def test_success_and_faulty_jobs_reset_failures():
+    # Guards against rare failures that accumulate to a quarantine.
     health = WorkerHealth()
     health.task_failed("w0", "j1")
     health.task_finished("w0")
