--- a/libs/gangs/src/bilberryhitch_gangs/planner_set.py
+++ b/libs/gangs/src/bilberryhitch_gangs/planner_set.py
@@ -21,7 +21,7 @@
 CANDIDATES_PER_POOL = 3
 
 
-class MembershipView(Protocol):
+class PlannerMembership(Protocol):
     """Membership queries that the planners need."""
 
     def entry_hosts(self, data_centre: str) -> Sequence[str]:
@@ -49,7 +49,7 @@
         workers: WorkerClient,
         *,
         tables_view: Callable[[], Tables],
-        members: MembershipView,
+        members: PlannerMembership,
         make_scheduler: SchedulerFactory,
         now: Callable[[], float],
         new_id: Callable[[], str],
--- a/libs/gangs/tests/test_planner_set.py
+++ b/libs/gangs/tests/test_planner_set.py
@@ -6,7 +6,7 @@
 from tests.machines.world_point2_gangs import CENTRE, POOL, World
 
 
-class FakeMembership:
+class MembershipStub:
     def __init__(self, world, entry):
         self.entry = entry
         self.all = list(world.hosts)
@@ -56,7 +56,7 @@
 def test_only_the_highest_ranked_hosts_are_candidates(idle_world):
     # Guards against every entry host reading every lease row.
     entry = [f"e{i}" for i in range(8)]
-    members = FakeMembership(idle_world, entry)
+    members = MembershipStub(idle_world, entry)
     sets = [make_set(idle_world, members, host) for host in entry]
     for each in sets:
         idle_world.run(each.start())
@@ -76,14 +76,14 @@
         "checks": Pool("checks", "request", names),
     }
     idle_world.config = Tables(2, {}, pools)
-    planners = make_set(idle_world, FakeMembership(idle_world, ["a"]))
+    planners = make_set(idle_world, MembershipStub(idle_world, ["a"]))
     idle_world.run(planners.sync())
     assert planners.pools == []
 
 
 def test_handover_keeps_the_running_gang(idle_world):
     # Guards against a gang that ends because its planner's host shuts down.
-    members = FakeMembership(idle_world, ["a", "b"])
+    members = MembershipStub(idle_world, ["a", "b"])
     first, second = (make_set(idle_world, members, host) for host in "ab")
     idle_world.run(first.start())
     idle_world.advance(5)
@@ -105,7 +105,7 @@
 
 def test_draining_worker_gets_no_new_work(idle_world):
     # Guards against new gangs on a draining worker.
-    members = FakeMembership(idle_world, ["a"])
+    members = MembershipStub(idle_world, ["a"])
     planners = make_set(idle_world, members)
     idle_world.run(planners.start())
     idle_world.advance(6)
--- a/libs/peers/tests/test_link.py
+++ b/libs/peers/tests/test_link.py
@@ -11,7 +11,7 @@
 
 LOOPBACK = Address("127.0.0.1", 0)
 UNREACHABLE_PEER = PeerAddress("ghost", "ruwi", Address("127.0.0.1", 9))  # discard port
-TIMEOUT_S = 10.0
+PEER_TIMEOUT_S = 10.0
 
 
 class RecordingHost:
@@ -44,7 +44,7 @@
         try:
             for host in hosts:
                 host.link.set_peers([*addresses, UNREACHABLE_PEER])
-            await hosts[0].link.call("e2", ConfigAsk(0), TIMEOUT_S)
+            await hosts[0].link.call("e2", ConfigAsk(0), PEER_TIMEOUT_S)
             await scenario(*hosts)
         finally:
             for host in hosts:
@@ -53,7 +53,7 @@
     asyncio.run(main())
 
 
-async def wait_until(condition):
+async def wait_for_condition(condition):
     for _ in range(1000):
         if condition():
             return
@@ -64,7 +64,7 @@
 def test_concurrent_calls_get_their_own_replies():
     # Guards against replies that are delivered to another call.
     async def scenario(e1, e2):
-        calls = [e1.link.call("e2", ConfigAsk(n), TIMEOUT_S) for n in range(50)]
+        calls = [e1.link.call("e2", ConfigAsk(n), PEER_TIMEOUT_S) for n in range(50)]
         answers = await asyncio.gather(*calls)
         assert [answer.revision for answer in answers] == list(range(50))
 
@@ -78,9 +78,9 @@
         with pytest.raises(PeerTimeout):
             await e1.link.call("e2", ConfigAsk(1), 0.05)
         e2.answer_after_s = 0.0
-        answer = await e1.link.call("e2", ConfigAsk(2), TIMEOUT_S)
+        answer = await e1.link.call("e2", ConfigAsk(2), PEER_TIMEOUT_S)
         assert answer.revision == 2
-        await wait_until(lambda: e1.link.counts.late_replies == 1)
+        await wait_for_condition(lambda: e1.link.counts.late_replies == 1)
 
     run_with_pair(scenario)
 
@@ -94,7 +94,7 @@
         e1.link._calls["e1-1-x"] = _Call("e3", future)
         frames = pack(Header("e2", "reply", "e1-1-x"), ConfigOffer(1))
         e2.link._queue("e1", frames)
-        await wait_until(lambda: e1.link.counts.late_replies == 1)
+        await wait_for_condition(lambda: e1.link.counts.late_replies == 1)
         assert not future.done()
         del e1.link._calls["e1-1-x"]
 
@@ -126,7 +126,7 @@
         e3 = RecordingHost("e3")
         e3.link._bind = address
         await e3.link.start()
-        await wait_until(lambda: e3.received)
+        await wait_for_condition(lambda: e3.received)
         assert e3.received == [("e1", JobNotice("j", "queued"))]
         await e3.link.close()
 
@@ -170,11 +170,11 @@
         good = pack(Header("e1", "send"), ConfigAsk(1))
         for frames in ([b"x"], [b"\xc1", good[1]], [good[0], b"\x81\xa4type\xa1z"]):
             await dealer.send_multipart(frames)
-        await wait_until(lambda: e2.link.counts.undecodable == 3)
+        await wait_for_condition(lambda: e2.link.counts.undecodable == 3)
         context.destroy(linger=0)
         e1.link.send("e2", JobNotice("j", "bad"))
-        await wait_until(lambda: e2.link.counts.handler_failures == 1)
-        await e1.link.call("e2", ConfigAsk(1), TIMEOUT_S)
+        await wait_for_condition(lambda: e2.link.counts.handler_failures == 1)
+        await e1.link.call("e2", ConfigAsk(1), PEER_TIMEOUT_S)
 
     run_with_pair(scenario)
 
@@ -184,7 +184,7 @@
         heartbeat = Heartbeat("e1", "ruwi", "e1-1", False, 1)
         e1.link.broadcast(heartbeat, "seeb")
         e1.link.broadcast(heartbeat, "ruwi")
-        await e1.link.call("e2", ConfigAsk(1), TIMEOUT_S)
+        await e1.link.call("e2", ConfigAsk(1), PEER_TIMEOUT_S)
         assert [m for _, m in e2.received if isinstance(m, Heartbeat)] == [heartbeat]
 
     run_with_pair(scenario)
@@ -192,9 +192,9 @@
 
 def test_close_ends_calls_in_progress():
     async def scenario(e1, e2):
-        e2.answer_after_s = TIMEOUT_S
-        call = asyncio.create_task(e1.link.call("e2", ConfigAsk(1), TIMEOUT_S))
-        await wait_until(lambda: len(e2.received) == 2)
+        e2.answer_after_s = PEER_TIMEOUT_S
+        call = asyncio.create_task(e1.link.call("e2", ConfigAsk(1), PEER_TIMEOUT_S))
+        await wait_for_condition(lambda: len(e2.received) == 2)
         await e1.link.close()
         with pytest.raises(PeerTimeout):
             await call
