--- a/libs/model/src/bilberryhitch_model/__init__.py
+++ b/libs/model/src/bilberryhitch_model/__init__.py
@@ -1,4 +1,4 @@
-"""Records, shapes, outcomes, errors, and the validation of the two tables."""
+"""Records and errors of the system, their codecs, and the validation of the tables."""
 
 from . import errors
 from .codec import decode, encode, from_plain, to_plain
--- a/libs/model/src/bilberryhitch_model/capacity.py
+++ b/libs/model/src/bilberryhitch_model/capacity.py
@@ -1,4 +1,4 @@
-"""How many aligned blocks of accelerators the racks of a pool can hold."""
+"""Check of which guaranteed cells fit into the racks of a pool."""
 
 from bisect import bisect_left, insort
 from collections import defaultdict
@@ -7,33 +7,38 @@
 
 from .hosts import Host
 
-# Groups of adjacent workers that form a cell, largest first.
+# Numbers of adjacent workers that form a cell, largest first.
 WORKER_GROUPS = (4, 2)
-# A worker's accelerators are cut into aligned blocks of these sizes.
+# Sizes of the aligned blocks into which the accelerators of a worker are split.
 ACCELERATOR_BLOCKS = (4, 2, 1)
 
 
 class Block(NamedTuple):
-    """A cell and the cells it splits into."""
+    """A cell of adjacent accelerators.
+
+    :param parts: the smaller cells that it splits into, empty for one accelerator
+    """
 
     accelerators: int
     parts: tuple["Block", ...]
 
 
 def rack_blocks(hosts: Iterable[Host]) -> list[Block]:
-    """Return one block for each rack of the given workers."""
+    """Return one block for each rack that has workers with accelerators."""
     racks: defaultdict[tuple[str, str], list[Host]] = defaultdict(list)
     for host in hosts:
         if host.accelerators > 0:
             racks[host.data_centre, host.rack].append(host)
-    return [_joined(_group(rack, WORKER_GROUPS)) for rack in racks.values()]
+    return [
+        _join_parts(_aligned_groups(rack, WORKER_GROUPS)) for rack in racks.values()
+    ]
 
 
-def misfits(racks: Sequence[Block], sizes: Iterable[int]) -> list[int]:
-    """Return the indices of the cells that cannot be held with all the others.
+def unplaceable_cells(racks: Sequence[Block], sizes: Iterable[int]) -> list[int]:
+    """Return the indices of the cells that do not fit beside the others.
 
-    Largest cells go first, each into the smallest free block that holds it;
-    because blocks are nested, no other order places more.
+    Cells are placed largest first, each into the smallest free block that holds it.
+    Because blocks are nested, no other order places more cells.
 
     :param sizes: accelerators of each cell
     """
@@ -45,12 +50,15 @@
         if position == len(free):
             missing.append(index)
             continue
-        _take(free, free.pop(position), size)
+        _split_down_to(free, free.pop(position), size)
     return missing
 
 
-def _take(free: list[Block], block: Block, size: int) -> None:
-    """Split ``block`` down to the smallest part of at least ``size``."""
+def _split_down_to(free: list[Block], block: Block, size: int) -> None:
+    """Split ``block`` to take its smallest part of at least ``size`` accelerators.
+
+    The remaining parts are added to ``free``.
+    """
     while True:
         fitting = [part for part in block.parts if part.accelerators >= size]
         if not fitting:
@@ -67,35 +75,38 @@
     return block.accelerators
 
 
-def _joined(parts: list[Block]) -> Block:
+def _join_parts(parts: list[Block]) -> Block:
     if len(parts) == 1:
         return parts[0]
     return Block(sum(part.accelerators for part in parts), tuple(parts))
 
 
-def _group(hosts: list[Host], groups: tuple[int, ...]) -> list[Block]:
-    """Return the aligned groups of adjacent workers, and single workers."""
+def _aligned_groups(hosts: list[Host], groups: tuple[int, ...]) -> list[Block]:
+    """Return blocks for the aligned groups of adjacent workers and for the others.
+
+    :param groups: group sizes to try, largest first
+    """
     if not groups:
-        return [_worker(host.accelerators) for host in hosts]
+        return [_worker_block(host.accelerators) for host in hosts]
     size = groups[0]
     aligned: defaultdict[int, list[Host]] = defaultdict(list)
     for host in hosts:
         aligned[host.position // size].append(host)
     blocks: list[Block] = []
-    for members in aligned.values():
-        inner = _group(members, groups[1:])
-        whole = len({host.position for host in members}) == len(members) == size
-        blocks.extend([_joined(inner)] if whole else inner)
+    for group in aligned.values():
+        inner = _aligned_groups(group, groups[1:])
+        complete = len({host.position for host in group}) == len(group) == size
+        blocks.extend([_join_parts(inner)] if complete else inner)
     return blocks
 
 
-def _worker(accelerators: int) -> Block:
-    return _joined(_cut(accelerators, ACCELERATOR_BLOCKS))
+def _worker_block(accelerators: int) -> Block:
+    return _join_parts(_aligned_blocks(accelerators, ACCELERATOR_BLOCKS))
 
 
-def _cut(accelerators: int, sizes: tuple[int, ...]) -> list[Block]:
+def _aligned_blocks(accelerators: int, sizes: tuple[int, ...]) -> list[Block]:
     if sizes[0] == 1:
         return [Block(1, ())] * accelerators
     whole, rest = divmod(accelerators, sizes[0])
-    block = _joined(_cut(sizes[0], sizes[1:]))
-    return [block] * whole + (_cut(rest, sizes[1:]) if rest else [])
+    block = _join_parts(_aligned_blocks(sizes[0], sizes[1:]))
+    return [block] * whole + (_aligned_blocks(rest, sizes[1:]) if rest else [])
--- a/libs/model/src/bilberryhitch_model/codec.py
+++ b/libs/model/src/bilberryhitch_model/codec.py
@@ -1,4 +1,7 @@
-"""JSON and msgpack codecs for records: named tuples travel as objects."""
+"""JSON codec for records, and their conversion to plain values.
+
+Named tuples are encoded as objects.
+"""
 
 from collections.abc import Mapping
 from functools import cache
@@ -22,14 +25,14 @@
 
 
 def encode(record: object) -> bytes:
-    """Return a record as compact JSON, named tuples as objects."""
+    """Return a record as compact JSON."""
     return msgspec.json.encode(to_plain(record))
 
 
 def decode(kind: type[T], data: bytes) -> T:
-    """Return the record of type ``kind`` held in JSON ``data``.
+    """Return the record of type ``kind`` that the JSON ``data`` encodes.
 
-    :raises BadInput: with the path of the first field that does not fit
+    :raises BadInput: with the path of the first invalid field
     """
     try:
         plain = msgspec.json.decode(data)
@@ -39,7 +42,7 @@
 
 
 def to_plain(value: Any) -> Any:
-    """Return ``value`` with every named tuple turned into a mapping."""
+    """Return ``value`` with named tuples as mappings and other tuples as lists."""
     if isinstance(value, tuple) and hasattr(value, "_fields"):
         return {name: to_plain(getattr(value, name)) for name in value._fields}
     if isinstance(value, Mapping):
@@ -50,23 +53,23 @@
 
 
 def from_plain(kind: type[T], plain: object) -> T:
-    """Check ``plain`` against the record type and build it.
+    """Validate ``plain`` against the record type ``kind`` and return the record.
 
-    Unknown fields are refused.
+    Unknown fields are rejected.
 
-    :raises BadInput: with the path of the first field that does not fit
+    :raises BadInput: with the path of the first invalid field
     """
     try:
-        checked = msgspec.convert(plain, _mirror(cast(Any, kind)))
+        checked = msgspec.convert(plain, _validation_type(cast(Any, kind)))
     except msgspec.ValidationError as error:
         rule, _, path = str(error).partition(" - at `")
         raise BadInput(path.rstrip("`") or "$", "", rule) from error
-    built: T = _build(kind, checked)
+    built: T = _build_records(kind, checked)
     return built
 
 
 @cache
-def _hints(kind: Any) -> dict[str, Any]:
+def _type_hints(kind: Any) -> dict[str, Any]:
     return get_type_hints(kind)
 
 
@@ -77,23 +80,24 @@
 
 
 @cache
-def _mirror(kind: Any) -> Any:
-    """Return the type msgspec checks in place of ``kind``.
+def _validation_type(kind: Any) -> Any:
+    """Return the type that msgspec validates in place of ``kind``.
 
-    msgspec reads named tuples as arrays; structs with the same fields make it
-    read objects and refuse unknown fields.
+    msgspec expects named tuples as arrays. Structs with the same fields make it
+    expect objects and reject unknown fields.
     """
     if _is_record(kind):
-        hints = _hints(kind)
+        hints = _type_hints(kind)
         fields = [
-            _field(name, hints[name], kind._field_defaults) for name in kind._fields
+            _struct_field(name, hints[name], kind._field_defaults)
+            for name in kind._fields
         ]
         return msgspec.defstruct(kind.__name__, fields, forbid_unknown_fields=True)
     origin = get_origin(kind)
     if origin is None or origin is Literal:
         return kind
     arguments = tuple(
-        argument if argument is Ellipsis else _mirror(argument)
+        argument if argument is Ellipsis else _validation_type(argument)
         for argument in get_args(kind)
     )
     if origin in (Union, UnionType):
@@ -102,32 +106,41 @@
     return target[arguments]
 
 
-def _field(name: str, hint: Any, defaults: Mapping[str, Any]) -> tuple[str, Any, Any]:
+def _struct_field(
+    name: str, hint: Any, defaults: Mapping[str, Any]
+) -> tuple[str, Any, Any]:
     if name not in defaults:
-        return (name, _mirror(hint), msgspec.field())
+        return (name, _validation_type(hint), msgspec.field())
     default = defaults[name]
     if isinstance(default, tuple):
-        return (name, _mirror(hint), msgspec.field(default_factory=lambda: default))
-    return (name, _mirror(hint), default)
+        return (
+            name,
+            _validation_type(hint),
+            msgspec.field(default_factory=lambda: default),
+        )
+    return (name, _validation_type(hint), default)
 
 
-def _build(kind: Any, value: Any) -> Any:
+def _build_records(kind: Any, value: Any) -> Any:
     if _is_record(kind):
         if isinstance(value, kind):
             return value
-        hints = _hints(kind)
+        hints = _type_hints(kind)
         return kind(
-            **{name: _build(hints[name], getattr(value, name)) for name in kind._fields}
+            **{
+                name: _build_records(hints[name], getattr(value, name))
+                for name in kind._fields
+            }
         )
     origin = get_origin(kind)
     if origin in (Union, UnionType) and value is not None:
         records = [option for option in get_args(kind) if _is_record(option)]
-        return _build(records[0], value) if records else value
+        return _build_records(records[0], value) if records else value
     if isinstance(value, dict):
         item_kind = get_args(kind)[1] if get_args(kind) else Any
-        return {key: _build(item_kind, item) for key, item in value.items()}
+        return {key: _build_records(item_kind, item) for key, item in value.items()}
     if isinstance(value, tuple | list):
         item_kind = get_args(kind)[0] if get_args(kind) else Any
-        items = [_build(item_kind, item) for item in value]
+        items = [_build_records(item_kind, item) for item in value]
         return tuple(items) if isinstance(value, tuple) else items
     return value
--- a/libs/model/src/bilberryhitch_model/errors.py
+++ b/libs/model/src/bilberryhitch_model/errors.py
@@ -1,12 +1,12 @@
-"""Typed failures; each class carries the data that describes it."""
+"""Exceptions of the system, with the data that describes each failure."""
 
 from typing import ClassVar
 
 
 class BilberryhitchError(Exception):
-    """Base class of every failure the system reports.
+    """Base class of all failures that the system reports.
 
-    :cvar code: stable identifier used in logs and API answers
+    :cvar code: stable identifier used in logs and API responses
     """
 
     code: ClassVar[str] = "error"
@@ -23,7 +23,7 @@
 
 
 class BadInput(BilberryhitchError):
-    """A caller or operator sent a value that breaks a rule; nothing changed."""
+    """A caller or operator sent an invalid value; nothing was changed."""
 
     code = "bad_input"
 
@@ -35,7 +35,7 @@
 
 
 class TableInvalid(BilberryhitchError):
-    """A row of the routes or pools table breaks a rule; nothing changed."""
+    """A row of the routes or pools table is invalid; nothing was changed."""
 
     code = "table_invalid"
 
@@ -50,7 +50,7 @@
 class SettingsInvalid(BilberryhitchError):
     """A settings file cannot be used.
 
-    :param path: the place in the file, as a JSON path or ``line:column``
+    :param path: position in the file, as a JSON path or ``line:column``
     """
 
     code = "settings_invalid"
@@ -81,7 +81,7 @@
 
 
 class NotRun(BilberryhitchError):
-    """The work certainly did not run and never will under this call."""
+    """The work did not run and never will run under this call."""
 
     code = "not_run"
 
@@ -92,7 +92,7 @@
 
 
 class OutcomeUnknown(BilberryhitchError):
-    """The work may have run; the truth is found under the handle."""
+    """The work may have run; its result can be queried with the handle."""
 
     code = "unknown"
 
@@ -103,7 +103,7 @@
 
 
 class ShapeImpossible(BilberryhitchError):
-    """No placement of the shape can exist in the pool, even when it is empty."""
+    """The shape does not fit into the pool, even if nothing else runs there."""
 
     code = "shape_impossible"
 
@@ -114,7 +114,10 @@
 
 
 class QueueFull(BilberryhitchError):
-    """The queue is at its limit and this entry is furthest above its share."""
+    """The queue is at its limit, and this entry was dropped.
+
+    Its account is the one furthest above its fair share.
+    """
 
     code = "queue_full"
 
@@ -126,13 +129,13 @@
 
 
 class StoreError(BilberryhitchError):
-    """The platform's table service or object store did not do what was asked."""
+    """A call to the table service or the object store of the platform failed."""
 
     code = "store_error"
 
 
 class StoreUnavailable(StoreError):
-    """The store did not take the call; the call certainly had no effect."""
+    """The store did not accept the call; it had no effect."""
 
     code = "store_unavailable"
 
@@ -142,7 +145,7 @@
 
 
 class StoreAnswerLost(StoreError):
-    """The call may or may not have taken effect."""
+    """The response of the store was lost; the call may have taken effect."""
 
     code = "store_answer_lost"
 
@@ -152,7 +155,7 @@
 
 
 class StoreConflict(StoreError):
-    """A row was not at the expected revision; nothing was written."""
+    """A row did not have the expected revision; nothing was written."""
 
     code = "store_conflict"
 
@@ -163,10 +166,10 @@
 
 
 class ConfigConflict(BilberryhitchError):
-    """Another operator committed first.
+    """Another operator committed a change first.
 
-    :param revision: the revision now accepted
-    :param operator: who committed it
+    :param revision: the current revision
+    :param operator: the operator who committed it
     """
 
     code = "config_conflict"
@@ -178,7 +181,7 @@
 
 
 class PeerUnsent(BilberryhitchError):
-    """The message was not handed to the network; the peer never sees it."""
+    """The message was not sent; the peer never receives it."""
 
     code = "peer_unsent"
 
@@ -188,7 +191,7 @@
 
 
 class PeerTimeout(BilberryhitchError):
-    """The message may have reached the peer; no answer came in time."""
+    """The peer did not respond in time; it may have received the message."""
 
     code = "peer_timeout"
 
@@ -198,7 +201,7 @@
 
 
 class StaleToken(BilberryhitchError):
-    """A worker has seen a higher fencing token than the one presented."""
+    """A worker rejected a fencing token, because it has seen a higher one."""
 
     code = "stale_token"
 
@@ -209,7 +212,7 @@
 
 
 class WorkerRefused(BilberryhitchError):
-    """A worker answered that it did not do what was asked."""
+    """A worker rejected a command and did not carry it out."""
 
     code = "worker_refused"
 
@@ -220,7 +223,7 @@
 
 
 class WorkerUnreachable(BilberryhitchError):
-    """A worker did not answer; what was asked may have happened."""
+    """A worker did not respond; it may have carried out the command."""
 
     code = "worker_unreachable"
 
@@ -230,7 +233,7 @@
 
 
 class ExecutorNotAccepted(BilberryhitchError):
-    """The executor certainly did not run the request."""
+    """The executor did not accept the request and did not run it."""
 
     code = "executor_not_accepted"
 
@@ -241,7 +244,7 @@
 
 
 class ExecutorLost(BilberryhitchError):
-    """The request may have run on the executor; no whole answer came back."""
+    """The executor sent no complete response; the request may have run."""
 
     code = "executor_lost"
 
--- a/libs/model/src/bilberryhitch_model/hosts.py
+++ b/libs/model/src/bilberryhitch_model/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts, their addresses and the identity of a running process."""
+"""Hosts, their addresses, and the identity of a running entry host."""
 
 from typing import Literal, NamedTuple
 
@@ -7,9 +7,9 @@
 
 
 class Identity(NamedTuple):
-    """One run of one entry host.
+    """One process of an entry host.
 
-    :param incarnation: unique id of this run of the process
+    :param incarnation: unique id of the process
     """
 
     host: str
@@ -18,14 +18,14 @@
 
 
 class Address(NamedTuple):
-    """A TCP address by IP number."""
+    """A TCP address with a numeric IP address."""
 
     ip: str
     port: int
 
 
 class PeerAddress(NamedTuple):
-    """Where another entry host listens for peer messages."""
+    """Address on which another entry host listens for peer messages."""
 
     host: str
     data_centre: str
@@ -37,7 +37,7 @@
 
     :param address: control address as ``ip:port``
     :param boot_id: changes whenever the host restarts
-    :param position: index of the host within its rack; neighbours are adjacent
+    :param position: index of the host within its rack; consecutive ones are adjacent
     :param memory_gb: memory in GB
     """
 
--- a/libs/model/src/bilberryhitch_model/parsing.py
+++ b/libs/model/src/bilberryhitch_model/parsing.py
@@ -1,4 +1,4 @@
-"""JSON with duplicate keys refused, and the tables read from it."""
+"""Strict parsing of JSON, and of the routes and pools tables."""
 
 import json
 import math
@@ -15,20 +15,23 @@
 
 R = TypeVar("R", Route, Pool)
 
-# Errors quote the offending value; a longer quotation hides the rule.
-MAX_QUOTED = 80
-_SKIPPED = re.compile(
+# Errors contain the invalid value; a longer one would hide the rule it breaks.
+MAX_VALUE_CHARS = 80
+# Strings are matched as a whole, so that comment markers inside them are kept.
+_STRING_OR_NON_JSON = re.compile(
     r'"(?:[^"\\]|\\.)*+"?|//[^\r\n]*+|/\*.*?(?:\*/|\Z)|,(?=\s*+[\]}])', re.DOTALL
 )
 _PATH_STEP = re.compile(r"\.([^.\[]+)|\[(\d+)\]")
-_NAMED_FIELD = re.compile(r"field `([^`]+)`")
+_FIELD_IN_RULE = re.compile(r"field `([^`]+)`")
 
 
 def parse_json(data: bytes, *, comments: bool = False) -> Any:
-    """Return the plain values of JSON in UTF-8, in time linear in its size.
+    """Return the values of JSON in UTF-8, in time linear in its size.
+
+    Duplicate keys and numbers that are not finite are rejected.
 
     :param comments: whether comments and trailing commas are allowed
-    :raises BadInput: with ``line:column`` or the key, the value and the rule
+    :raises BadInput: with ``line:column`` or the key, the value and the broken rule
     """
     try:
         text = data.decode()
@@ -36,24 +39,27 @@
         raise BadInput(f"byte {error.start}", "", "is UTF-8") from error
     if comments:
         text = _blank_comments(text)
-    return _load(json.loads, text, text)
+    return _load_strict(json.loads, text, text)
 
 
 def parse_jsonc(text: str) -> Any:
-    """Return the plain values of JSON with comments and trailing commas.
+    """Return the values of JSON with comments and trailing commas.
 
-    Meant for local files: the comment remover takes time quadratic in the size
-    of some malformed texts.
+    Only for local files: removing comments takes time quadratic in the size of some
+    malformed texts.
 
-    :raises BadInput: with ``line:column`` or the key, the value and the rule
+    :raises BadInput: with ``line:column`` or the key, the value and the broken rule
     """
-    return _load(jsonc.loads, text, _blank_comments(text))
+    return _load_strict(jsonc.loads, text, _blank_comments(text))
 
 
 def parse_tables(text: str) -> Result[Tables, TableInvalid]:
-    """Return the tables of a file ``{"routes": [row...], "pools": [row...]}``.
+    """Parse a file ``{"routes": [row, ...], "pools": [row, ...]}``.
+
+    The revision of the tables is 0. Rules that involve several rows are checked by
+    :func:`validate_tables`.
 
-    The revision is 0; the rules between rows are those of ``validate_tables``.
+    :returns: the tables, or the first error
     """
     try:
         plain = parse_jsonc(text)
@@ -80,7 +86,9 @@
 
 
 def parse_rows(kind: type[R], plain: Any) -> Result[tuple[R, ...], TableInvalid]:
-    """Return the rows of one table, each name at most once.
+    """Return the rows of one table, or the first error.
+
+    Two rows of one name are an error.
 
     :param kind: ``Route`` or ``Pool``
     :param plain: list of objects with the fields of ``kind``
@@ -103,15 +111,18 @@
 
 
 def shorten_value(value: Any) -> Any:
-    """Return a value short enough to be part of an error."""
+    """Return a value as it is original_text in an error.
+
+    Strings, lists and objects become text of at most ``MAX_VALUE_CHARS`` characters.
+    """
     if value is None or isinstance(value, bool | int | float):
         return value
     text = value if isinstance(value, str) else json.dumps(value, default=str)
-    return text if len(text) <= MAX_QUOTED else text[: MAX_QUOTED - 3] + "..."
+    return text if len(text) <= MAX_VALUE_CHARS else text[: MAX_VALUE_CHARS - 3] + "..."
 
 
 def value_at(plain: Any, path: str) -> Any:
-    """Return the value at a path such as ``$.peers[0].port``, or ``None``."""
+    """Return the value at a path such as ``$.peers[0].port``, ``None`` if absent."""
     for name, index in _PATH_STEP.findall(path):
         if index and isinstance(plain, Sequence) and int(index) < len(plain):
             plain = plain[int(index)]
@@ -128,7 +139,7 @@
 
 
 def _row_error(row: str, item: Any, error: BadInput) -> TableInvalid:
-    named = _NAMED_FIELD.search(error.rule)
+    named = _FIELD_IN_RULE.search(error.rule)
     if named is None:
         field = error.field.removeprefix("$.")
         return TableInvalid(
@@ -139,28 +150,28 @@
     return TableInvalid(row, path.removeprefix("$."), value, error.rule)
 
 
-def _load(loads: Callable[..., Any], text: str, shown: str) -> Any:
-    """Call ``loads`` and turn its failures into :class:`BadInput`.
+def _load_strict(loads: Callable[..., Any], text: str, original_text: str) -> Any:
+    """Call ``loads``; its failures become :class:`BadInput`.
 
-    :param shown: the text with the line numbers that its author sees
+    :param original_text: the text with the line numbers of the original file
     """
     try:
         return loads(
             text,
-            object_pairs_hook=_unique,
-            parse_constant=_refuse_constant,
-            parse_float=_finite,
+            object_pairs_hook=_object_with_unique_keys,
+            parse_constant=_reject_constant,
+            parse_float=_parse_finite,
         )
     except json.JSONDecodeError as error:
-        place, rule = _place(shown, error)
-        raise BadInput(place, "", rule) from error
+        position, rule = _locate_error(original_text, error)
+        raise BadInput(position, "", rule) from error
     except ValueError as error:
         raise BadInput("$", "", str(error)) from error
     except RecursionError as error:
         raise BadInput("$", "", "nests less deeply") from error
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _object_with_unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     found: dict[str, Any] = {}
     for key, value in pairs:
         if key in found:
@@ -171,11 +182,11 @@
     return found
 
 
-def _refuse_constant(text: str) -> NoReturn:
+def _reject_constant(text: str) -> NoReturn:
     raise BadInput("$", text, "is a finite number")
 
 
-def _finite(text: str) -> float:
+def _parse_finite(text: str) -> float:
     number = float(text)
     if not math.isfinite(number):
         raise BadInput("$", shorten_value(text), "is a finite number")
@@ -183,24 +194,24 @@
 
 
 def _blank_comments(text: str) -> str:
-    """Replace what plain JSON lacks by blanks, keeping lines and columns."""
+    """Replace comments and trailing commas by blanks; positions stay the same."""
 
     def blank(match: re.Match[str]) -> str:
         if match[0].startswith('"'):
             return match[0]
         return re.sub(r"[^\r\n]", " ", match[0])
 
-    return _SKIPPED.sub(blank, text)
+    return _STRING_OR_NON_JSON.sub(blank, text)
 
 
-def _place(shown: str, error: json.JSONDecodeError) -> tuple[str, str]:
-    """Return ``line:column`` of a syntax error, and what was expected there.
+def _locate_error(original_text: str, error: json.JSONDecodeError) -> tuple[str, str]:
+    """Return ``line:column`` of a syntax error, and its message.
 
-    ``jsonc`` removes comments together with their line ends, so the position it
-    reports is not one of the file.
+    ``jsonc`` removes comments together with their line ends, so the position that it
+    reports is not that of the original file.
     """
     try:
-        json.loads(shown)
+        json.loads(original_text)
     except json.JSONDecodeError as located:
         error = located
     return f"{error.lineno}:{error.colno}", error.msg
--- a/libs/model/src/bilberryhitch_model/tables.py
+++ b/libs/model/src/bilberryhitch_model/tables.py
@@ -8,7 +8,12 @@
 
 
 class Shape(NamedTuple):
-    """The gang a job asks for; every figure but ``tasks`` is per task."""
+    """Size of a gang: the number of tasks, and the resources of each task.
+
+    :param accelerators: accelerators per task
+    :param cores: cores per task
+    :param memory_gb: memory per task, in GB
+    """
 
     tasks: int = 1
     accelerators: int = 0
@@ -17,17 +22,19 @@
 
     @property
     def total_accelerators(self) -> int:
-        """Accelerators of the whole gang."""
+        """Number of accelerators of the whole gang."""
         return self.tasks * self.accelerators
 
 
 class Route(NamedTuple):
-    """What kind of work comes from which client account.
+    """A kind of work of one client account, and the pool that runs it.
 
-    :param pool: name of the pool that serves this route
+    :param work: whether the route takes requests or jobs
+    :param kind: name of the kind of work, for fair queueing and estimates
+    :param pool: name of the pool that runs the work
     :param idempotent: whether running the work twice is harmless
     :param checkpoint: whether a job of this route can save and resume its state
-    :param max_body_bytes: limit for request and answer bodies, in bytes
+    :param max_body_bytes: limit for request and response bodies, in bytes
     :param timeout_s: how long a caller waits for an executor, in seconds
     :param estimate_s: declared run time in seconds, used until runs are observed
     :param max_shape: largest shape a job may ask for
@@ -48,7 +55,13 @@
 
 
 class Guarantee(NamedTuple):
-    """``cells`` blocks of adjacent accelerators held for a client account."""
+    """Cells of adjacent accelerators that a client account can always reclaim.
+
+    In a request pool, executor slots take the place of accelerators.
+
+    :param accelerators: size of each cell
+    :param cells: number of cells
+    """
 
     client_account: str
     data_centre: str
@@ -57,17 +70,17 @@
 
 
 class Share(NamedTuple):
-    """Weight of a client account in what is not guaranteed."""
+    """Fair-share weight of a client account in the capacity that is not guaranteed."""
 
     client_account: str
     weight: float = 1.0
 
 
 class Pool(NamedTuple):
-    """What hosts and guarantees stand behind routes.
+    """Hosts that run the work of routes, and how client accounts share them.
 
     :param hosts: names of executors (request pools) or workers (job pools)
-    :param shares: weights; an account without a row has weight 1
+    :param shares: fair-share weights; an account without a row has weight 1
     :param borrowing: whether idle guaranteed cells are lent
     :param max_queued: queue limit per data centre, in entries
     """
@@ -82,7 +95,11 @@
 
 
 class Tables(NamedTuple):
-    """Both tables at one revision; 0 means that none was adopted."""
+    """Both tables at one revision; revision 0 means that none was loaded yet.
+
+    :param routes: routes by name
+    :param pools: pools by name
+    """
 
     revision: int
     routes: Mapping[str, Route]
@@ -90,7 +107,7 @@
 
 
 class TableChange(NamedTuple):
-    """Rows to write and rows to remove, applied as a whole."""
+    """Rows to write and names of rows to delete, applied atomically."""
 
     put_routes: tuple[Route, ...] = ()
     put_pools: tuple[Pool, ...] = ()
@@ -99,7 +116,10 @@
 
 
 class Commit(NamedTuple):
-    """An accepted change; ``at`` is UTC seconds since the epoch."""
+    """Metadata of an accepted change.
+
+    :param at: UTC seconds since the epoch
+    """
 
     revision: int
     operator: str
@@ -107,7 +127,10 @@
 
 
 class ConfigChange(NamedTuple):
-    """A committed change with its author: one entry of the audit trail."""
+    """A committed change with its author: one entry of the audit log.
+
+    :param at: UTC seconds since the epoch
+    """
 
     revision: int
     operator: str
--- a/libs/model/src/bilberryhitch_model/work.py
+++ b/libs/model/src/bilberryhitch_model/work.py
@@ -1,4 +1,4 @@
-"""Calls, jobs and outcomes."""
+"""Records of requests, jobs, placements and scheduling decisions."""
 
 from typing import Literal, NamedTuple
 
@@ -9,7 +9,11 @@
 
 
 class RequestCall(NamedTuple):
-    """A caller's request; ``key`` is its idempotency key or empty."""
+    """A request of a caller.
+
+    :param route: name of the route
+    :param key: idempotency key, or empty
+    """
 
     client_account: str
     caller: str
@@ -20,11 +24,11 @@
 
 
 class Outcome(NamedTuple):
-    """The answer to a request.
+    """The result of a request.
 
-    :param detail: reason in words for anything but ``completed``
-    :param handle: where the truth of an ``unknown`` outcome will be found
-    :param retry_after_s: advice for ``not_run``, in seconds
+    :param detail: reason in words for any status but ``completed``
+    :param handle: id under which the result of an ``unknown`` outcome can be queried
+    :param retry_after_s: advised delay before a retry after ``not_run``, in seconds
     """
 
     status: OutcomeStatus
@@ -36,7 +40,12 @@
 
 
 class JobCall(NamedTuple):
-    """A caller's job; ``run`` is passed to each task as it is."""
+    """A job submission of a caller.
+
+    :param route: name of the route
+    :param run: passed to each task unchanged
+    :param key: idempotency key, or empty
+    """
 
     client_account: str
     caller: str
@@ -50,6 +59,8 @@
     """The part of a gang on one worker.
 
     :param accelerators: indices of the accelerators used on the host
+    :param tasks: number of tasks on the host
+    :param boot_id: boot id of the host at placement
     """
 
     host: str
@@ -59,16 +70,16 @@
 
 
 class JobRecord(NamedTuple):
-    """A job as the table service holds it; times are UTC seconds.
+    """A job as it is stored in the table service; times are UTC seconds.
 
     :param attempt: number of the current attempt, from 1 once started
-    :param epoch: planner epoch of the start mark
-    :param members: the gang of the start mark
+    :param epoch: planner epoch in which the last start was recorded
+    :param members: the gang of the last recorded start
     :param status: outcome once ``state`` is ``finished``
     :param saved: object store key of the last checkpoint
-    :param cancel: whether a caller asked to cancel
-    :param failed_on: worker of each failure of a task of the job
-    :param cell: ``Placement.cell`` of the start, for a planner that takes over
+    :param cancel: whether a caller requested cancellation
+    :param failed_on: worker of each task failure of the job
+    :param cell: ``Placement.cell`` of the last start, used after a planner failover
     """
 
     job_id: str
@@ -102,7 +113,7 @@
 
 
 class QueuedJob(NamedTuple):
-    """What the scheduler knows of a job.
+    """A job as it is submitted to the scheduler.
 
     :param may_borrow: whether it may run where it can be evicted
     :param declared_s: run time its route declares, in seconds
@@ -121,10 +132,11 @@
 
 
 class Placement(NamedTuple):
-    """Where each part of a gang goes.
+    """Workers and accelerators chosen for a gang.
 
-    :param cell: accelerators of the guaranteed cell it lies in, 0 outside any,
-        ``None`` when not known
+    :param members: one member per worker
+    :param cell: size in accelerators of the guaranteed cell that contains the gang,
+        0 outside any, ``None`` when not known
     """
 
     members: tuple[Member, ...]
@@ -132,7 +144,10 @@
 
 
 class Start(NamedTuple):
-    """Decision: start this job there."""
+    """Decision to start a job.
+
+    :param borrowed: whether the job can be evicted
+    """
 
     job_id: str
     placement: Placement
@@ -140,7 +155,11 @@
 
 
 class Evict(NamedTuple):
-    """Decision: stop this borrower so that another job can start."""
+    """Decision to evict a borrower so that another job can start.
+
+    :param job_id: the borrower
+    :param for_job_id: the job that needs its accelerators or cores
+    """
 
     job_id: str
     for_job_id: str
@@ -150,12 +169,14 @@
 
 
 class Explanation(NamedTuple):
-    """Why a job is where it is.
+    """Why a job waits, or why it was allowed to start.
 
-    :param rule: identifier of the rule that holds it back
+    :param state: stage of the job in the scheduler
+    :param rule: identifier of the rule that delays it or allowed its start
+    :param detail: the rule in words
     :param in_use: accelerators the client account uses in the pool
     :param guaranteed: accelerators guaranteed to the account in the pool
-    :param ahead: entries ahead of it in the queue
+    :param ahead: earlier queue entries of the same caller
     """
 
     job_id: str
@@ -168,7 +189,11 @@
 
 
 class GuaranteeShortfall(NamedTuple):
-    """A guarantee that the hosts left cannot hold."""
+    """Guaranteed cells that the usable hosts cannot provide.
+
+    :param accelerators: size of each cell
+    :param missing: number of cells that cannot be provided
+    """
 
     client_account: str
     data_centre: str
--- a/libs/model/tests/test_codec.py
+++ b/libs/model/tests/test_codec.py
@@ -33,25 +33,25 @@
 
 
 @pytest.mark.parametrize("record", [ROUTE, POOL, JOB, Tables(1, {"r": ROUTE}, {})])
-def test_decode_returns_what_was_encoded(record):
-    # Guards against nested records coming back as plain lists or mappings.
+def test_encoded_record_is_decoded_unchanged(record):
+    # Guards against nested records that are decoded as plain lists or mappings.
     assert decode(type(record), encode(record)) == record
 
 
-def test_unknown_field_is_refused():
-    # Guards against a misspelt field being silently ignored.
+def test_unknown_field_is_rejected():
+    # Guards against a misspelt field that is silently ignored.
     with pytest.raises(BadInput) as caught:
         decode(Shape, b'{"tasks": 1, "acelerators": 2}')
     assert "acelerators" in caught.value.rule
 
 
-def test_wrong_type_names_the_path():
+def test_wrong_type_is_reported_with_its_path():
     data = encode(POOL).replace(b'"cells":2', b'"cells":"2"')
     with pytest.raises(BadInput) as caught:
         decode(Pool, data)
     assert caught.value.field.endswith("cells")
 
 
-def test_broken_json_is_bad_input():
+def test_malformed_json_raises_bad_input():
     with pytest.raises(BadInput):
         decode(Pool, b'{"name": ')
--- a/libs/model/tests/test_parsing.py
+++ b/libs/model/tests/test_parsing.py
@@ -5,21 +5,21 @@
 ROUTE = '{"name": "r", "work": "job", "kind": "k", "client_account": "a", "pool": "p"}'
 
 
-def test_comments_and_trailing_commas_are_read():
+def test_comments_and_trailing_commas_are_accepted():
     text = '{"routes": [' + ROUTE + ',], // one\n /* two */ "pools": []}'
     tables = parse_tables(text).ok
     assert isinstance(tables, Tables)
     assert tables.routes["r"].kind == "k"
 
 
-def test_syntax_error_names_the_line_of_the_file():
-    # Guards against line numbers shifted by removed comments.
+def test_syntax_error_has_the_position_in_the_file():
+    # Guards against line numbers that are shifted by the removal of comments.
     with pytest.raises(BadInput) as caught:
         parse_jsonc('{ // c\n /* a\n b */ "a": [1,\n],\n "b" 2}')
     assert caught.value.field == "5:6"
 
 
-BROKEN = [
+MALFORMED_JSON = [
     (b'{"a": 1, "a": 2}', "a"),
     (b'{"a": NaN}', "$"),
     (b'{"a": 1e999}', "$"),
@@ -30,15 +30,15 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "field"), BROKEN)
-def test_broken_json_is_bad_input(data, field):
-    # Guards against a decoder's exception reaching a handler.
+@pytest.mark.parametrize(("data", "field"), MALFORMED_JSON)
+def test_malformed_json_raises_bad_input(data, field):
+    # Guards against exceptions of the JSON decoder that reach a handler.
     with pytest.raises(BadInput) as caught:
         parse_json(data)
     assert caught.value.field == field
 
 
-ROWS = [
+INVALID_ROWS = [
     ('{"routes": [' + ROUTE + ", " + ROUTE + "]}", "r", "name"),
     ('{"routes": [{"name": "r", "wrk": 1}]}', "r", "wrk"),
     ('{"pools": [{"name": "p"}]}', "p", "work"),
@@ -49,7 +49,7 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "row", "field"), ROWS)
-def test_broken_row_is_refused_with_row_and_field(text, row, field):
+@pytest.mark.parametrize(("text", "row", "field"), INVALID_ROWS)
+def test_invalid_row_is_reported_with_row_and_field(text, row, field):
     error = parse_tables(text).error
     assert (error.row, error.field) == (row, field)
--- a/libs/scheduling/src/bilberryhitch_scheduling/__init__.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/__init__.py
@@ -11,9 +11,9 @@
     "BoundCellRow",
     "CellTree",
     "Dropped",
-    "QueueEntry",
-    "RunTimeEstimates",
     "FairQueue",
     "PoolScheduler",
+    "QueueEntry",
+    "RunTimeEstimates",
     "effective_accelerators",
 ]
--- a/libs/scheduling/src/bilberryhitch_scheduling/adopted_jobs.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/adopted_jobs.py
@@ -48,13 +48,11 @@
         account = job.spec.client_account
         if size is not None:
             for cell in self._cells_around(job, GuaranteeKey(account, size)):
-                if self._enter_named_cell(job, GuaranteeKey(account, size), cell):
+                if self._join_recorded_cell(job, GuaranteeKey(account, size), cell):
                     return
         for key in self._guarantees.keys(account):
             for cell in self._cells_around(job, key):
-                if self._guarantees.unbound_count(key) and self._bind_if_guarantees_fit(
-                    key, cell
-                ):
+                if self._guarantees.unbound_count(key) and self._try_bind(key, cell):
                     return
 
     def _cells_around(self, job: Job, key: GuaranteeKey) -> list[int]:
@@ -71,17 +69,17 @@
             cell = row.parent
         return found
 
-    def _enter_named_cell(self, job: Job, key: GuaranteeKey, cell: int) -> bool:
+    def _join_recorded_cell(self, job: Job, key: GuaranteeKey, cell: int) -> bool:
         """Enter a cell of the recorded size, even if its guarantee was reduced."""
         bound = self._guarantees.bound_cell_around(cell)
         if bound is None and self._protected_jobs_in(key, cell) is not None:
             bound = self._guarantees.bind(key, cell)
         if bound is None or bound.key != key:
             return False
-        enter(job, bound)
+        assign_bound_cell(job, bound)
         return True
 
-    def _bind_if_guarantees_fit(self, key: GuaranteeKey, cell: int) -> bool:
+    def _try_bind(self, key: GuaranteeKey, cell: int) -> bool:
         """Bind a cell unless more guaranteed cells would be missing afterwards."""
         jobs = self._protected_jobs_in(key, cell)
         if jobs is None or self._guarantees.bound_cell_around(cell) is not None:
@@ -93,7 +91,7 @@
             self._guarantees.unbind(bound)
             return False
         for job in jobs:
-            enter(job, bound)
+            assign_bound_cell(job, bound)
         return True
 
     def _protected_jobs_in(self, key: GuaranteeKey, cell: int) -> list[Job] | None:
@@ -124,7 +122,7 @@
         return [a for member in members for a in self._fleet.accelerators(member)]
 
 
-def enter(job: Job, bound: BoundCell) -> None:
+def assign_bound_cell(job: Job, bound: BoundCell) -> None:
     """Record that a job runs inside a bound cell."""
     job.bound_cell = bound
     job.guaranteed = True
--- a/libs/scheduling/src/bilberryhitch_scheduling/allocator.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/allocator.py
@@ -6,7 +6,7 @@
 
 from bilberryhitch_model import Member, Placement, Shape
 
-from .adopted_jobs import AdoptedJobs, enter
+from .adopted_jobs import AdoptedJobs, assign_bound_cell
 from .cell_search import find_free_members, neighbour_score, search_cells, victims
 from .clearing import (
     eviction_cost,
@@ -63,7 +63,7 @@
             a dictionary in order, or ``None`` if it cannot be placed
         """
         self._estimate(job)
-        if self.occupies_accelerators(job):
+        if self.uses_accelerators(job):
             found = self._allocate_guaranteed(job, now)
             if found is not None:
                 return found
@@ -89,7 +89,7 @@
         """Return whether a job may only run where it cannot be evicted."""
         return not (job.spec.may_borrow and self.borrowing)
 
-    def occupies_accelerators(self, job: Job) -> bool:
+    def uses_accelerators(self, job: Job) -> bool:
         """Return whether accelerators are allocated to a job.
 
         A job that asks for none but may not borrow is charged accelerators for its
@@ -129,7 +129,7 @@
         found = victims(self.fleet, members, job.shape)
         job.guaranteed = False
         if bound is not None:
-            enter(job, bound)
+            assign_bound_cell(job, bound)
         self.fleet.allocate(job, members)
         return found
 
@@ -177,12 +177,12 @@
         cells: list[int] = []
         for cell in self._empty_cells(job, key):
             if not self.fleet.free.taken[cell]:
-                found = self._bind_if_guarantees_fit(job, key, cell, before)
+                found = self._try_bind(job, key, cell, before)
                 if found is not None:
                     return found
             cells.append(cell)
         for cell in sorted(cells, key=partial(eviction_cost, self.fleet, now=now)):
-            found = self._bind_if_guarantees_fit(job, key, cell, before)
+            found = self._try_bind(job, key, cell, before)
             if found is not None:
                 return found
         return None
@@ -198,7 +198,7 @@
                 if not reclaimable.taken[cell] and capacity[kind] >= job.shape.tasks:
                     yield cell
 
-    def _bind_if_guarantees_fit(
+    def _try_bind(
         self, job: Job, key: GuaranteeKey, cell: int, before: tuple[int, ...]
     ) -> dict[str, None] | None:
         bound = self.guarantees.bind(key, cell)
--- a/libs/scheduling/src/bilberryhitch_scheduling/cell_plans.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/cell_plans.py
@@ -41,7 +41,7 @@
     level = [_plan_rack(racks[name]) for name in sorted(racks, key=_natural_sort_key)]
     while len(level) > 1:
         pairs = range(0, len(level), 2)
-        level = [_join(level[start : start + 2], grouped=True) for start in pairs]
+        level = [_join(level[start : start + 2], spans_racks=True) for start in pairs]
     return level[0] if level else None
 
 
@@ -58,12 +58,7 @@
         for position in sorted(parts):
             second = position + step
             aligned = position % (2 * step) == 0 and second in parts
-            if (
-                aligned
-                and _worker_count(parts[position])
-                == _worker_count(parts[second])
-                == step
-            ):
+            if aligned and _workers(parts[position]) == _workers(parts[second]) == step:
                 parts[position] = _join([parts[position], parts.pop(second)])
     return _join([parts[position] for position in sorted(parts)])
 
@@ -80,15 +75,15 @@
     return CellPlan(profile, tuple(children), (host,), size)
 
 
-def _join(parts: Sequence[CellPlan], *, grouped: bool = False) -> CellPlan:
+def _join(parts: Sequence[CellPlan], *, spans_racks: bool = False) -> CellPlan:
     if len(parts) == 1:
         return parts[0]
     hosts = tuple(host for part in parts for host in part.hosts)
     size = sum(part.size for part in parts)
-    return CellPlan(None, tuple(parts), hosts, size, grouped)
+    return CellPlan(None, tuple(parts), hosts, size, spans_racks)
 
 
-def _worker_count(plan: CellPlan) -> int:
+def _workers(plan: CellPlan) -> int:
     return len(plan.hosts)
 
 
--- a/libs/scheduling/src/bilberryhitch_scheduling/clearing.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/clearing.py
@@ -65,9 +65,11 @@
 
 
 def eviction_cost(fleet: Fleet, cell: int, now: float) -> tuple[float, int]:
-    """Return the work that evicting a cell's jobs discards, then its marked count.
+    """Return a sort key for cells: the lower, the cheaper the evictions.
 
-    The work is in accelerator seconds; jobs already being evicted count as nothing.
+    It consists of the work that evicting the cell's jobs discards, in accelerator
+    seconds, and the number of accelerators that are not free. Jobs whose eviction
+    was decided already add no work.
     """
     if not fleet.free.taken[cell]:
         return 0.0, 0
--- a/libs/scheduling/src/bilberryhitch_scheduling/explanations.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/explanations.py
@@ -1,4 +1,4 @@
-"""Explanations of job states, and the list of bound cells, for API answers."""
+"""Explanations of job states, and the list of bound cells, for API responses."""
 
 from typing import NamedTuple
 
--- a/libs/scheduling/src/bilberryhitch_scheduling/fair_groups.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/fair_groups.py
@@ -7,7 +7,7 @@
 T = TypeVar("T")
 
 IDLE_CLEANUP_CHILDREN = 4096  # children of a group above which idle ones are removed
-_STALE_HEAP_ROWS = 64  # stale heap rows tolerated before the heap is rebuilt
+_EXTRA_HEAP_ROWS = 64  # beyond two rows per child, the heap is rebuilt without stale
 
 
 class QueueEntry(Generic[T]):
@@ -95,7 +95,7 @@
         if parent is None:
             return
         self.heap_version += 1
-        if len(parent.heap) > 2 * len(parent.children) + _STALE_HEAP_ROWS:
+        if len(parent.heap) > 2 * len(parent.children) + _EXTRA_HEAP_ROWS:
             parent.heap = [row for row in parent.heap if row[3] == row[4].heap_version]
             heapify(parent.heap)
         if self.ready[0] or self.ready[1]:
--- a/libs/scheduling/src/bilberryhitch_scheduling/fair_queue.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/fair_queue.py
@@ -93,8 +93,9 @@
         :param droppable: ``False`` for work that was started before, which can no
             longer be reported as not run; such entries may exceed the limit
         :returns: the entry, and what the queue dropped to stay within its limit, if
-            anything: the newest droppable entry of the account furthest above its
-            share, which may be the new entry itself
+            anything: an entry of the account furthest above its share, of the kind and
+            caller with most entries, the newest one that is droppable. It may be the
+            new entry itself.
         """
         self._last_entry_number += 1
         entry = QueueEntry(item, self._last_entry_number, droppable)
--- a/libs/scheduling/src/bilberryhitch_scheduling/feasibility.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/feasibility.py
@@ -38,9 +38,9 @@
             fits = self._fleet.cpu_members(shape, protected=not job.spec.may_borrow)
             if fits is not None:
                 return ""
-        if not allocator.occupies_accelerators(
-            job
-        ) or not self._fleet.tree.candidate_kinds(shape):
+        if not allocator.uses_accelerators(job) or not self._fleet.tree.candidate_kinds(
+            shape
+        ):
             return "no cell of the pool holds the gang"
         if not allocator.requires_protection(job):
             return ""
--- a/libs/scheduling/src/bilberryhitch_scheduling/gang_reservations.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/gang_reservations.py
@@ -11,9 +11,7 @@
 from .jobs import Job
 
 MAX_RESERVATIONS = 4  # per pool
-MAX_RESERVED_SHARE = (
-    0.5  # fraction of the workers beyond which no new reservation is made
-)
+MAX_RESERVED_SHARE = 0.5  # of the workers; above it no reservation is added
 BACKFILL_GRACE_S = 60.0  # backfill ends this long after the first expected start
 MAX_CELLS_COMPARED = 64  # per reservation, most available accelerators first
 OVERRUN_FRACTION = 0.25  # a job past its p90 is expected to run this much longer
@@ -22,29 +20,22 @@
 class GangReservation:
     """Workers reserved for a gang.
 
-    :ivar expected_free_at: when all are expected to be free, in loop seconds
-    :ivar first_expected_free_at: the first such estimate; later ones do not change it
+    :ivar free_at: when all of them are expected to be free, in loop seconds
+    :ivar first_free_at: the first such estimate; later ones do not change it
     :ivar held: whether its workers are hidden from searches for free cells
-    :ivar protected_host_count: number of its workers that evictions of borrowers
+    :ivar protected_count: number of its workers that evictions of borrowers
         cannot free
     """
 
-    __slots__ = (
-        "expected_free_at",
-        "first_expected_free_at",
-        "held",
-        "hosts",
-        "job",
-        "protected_host_count",
-    )
+    __slots__ = ("first_free_at", "free_at", "held", "hosts", "job", "protected_count")
 
     def __init__(self, job: Job, hosts: tuple[str, ...], at: float) -> None:
         self.job = job
         self.hosts = hosts
-        self.expected_free_at = at
-        self.first_expected_free_at = at
+        self.free_at = at
+        self.first_free_at = at
         self.held = False
-        self.protected_host_count = 0
+        self.protected_count = 0
 
 
 class GangReservations:
@@ -77,7 +68,7 @@
             return False
         at, hosts = found
         reservation = GangReservation(job, hosts, at)
-        reservation.protected_host_count = self._count_protected(hosts)
+        reservation.protected_count = self._count_protected(hosts)
         self._by_job[job.job_id] = reservation
         self._hosts.update(hosts)
         self.hold(reservation, True)
@@ -94,20 +85,13 @@
     def refresh(self, now: float) -> None:
         """Update the estimates; move reservations that lost hosts to protected jobs."""
         for reservation in list(self._by_job.values()):
-            if (
-                self._count_protected(reservation.hosts)
-                > reservation.protected_host_count
-            ):
-                first_at = reservation.first_expected_free_at
+            if self._count_protected(reservation.hosts) > reservation.protected_count:
+                first_at = reservation.first_free_at
                 self.remove(reservation.job.job_id)
                 if self.reserve(reservation.job, now):
-                    self._by_job[
-                        reservation.job.job_id
-                    ].first_expected_free_at = first_at
+                    self._by_job[reservation.job.job_id].first_free_at = first_at
                 continue
-            reservation.expected_free_at = max(
-                self._free_at(h, now) for h in reservation.hosts
-            )
+            reservation.free_at = max(self._free_at(h, now) for h in reservation.hosts)
 
     def admits_backfill(
         self, reservation: GangReservation, now: float, p90_s: float
@@ -116,8 +100,8 @@
 
         :param p90_s: p90 of the job's run time, in seconds
         """
-        overdue = now > reservation.first_expected_free_at + BACKFILL_GRACE_S
-        return not overdue and now + p90_s <= reservation.expected_free_at
+        overdue = now > reservation.first_free_at + BACKFILL_GRACE_S
+        return not overdue and now + p90_s <= reservation.free_at
 
     def hold(self, reservation: GangReservation, value: bool) -> None:
         """Hide the workers from searches for free cells, or make them visible."""
@@ -154,12 +138,7 @@
         self, cell: int, job: Job, now: float
     ) -> tuple[float, tuple[str, ...]] | None:
         times = sorted(
-            (
-                self._is_protected(host),
-                self._free_at(host, now),
-                position,
-                host,
-            )
+            (self._is_protected(host), self._free_at(host, now), position, host)
             for position, (host, _) in enumerate(self._fleet.tree.hosts_in(cell))
             if host not in self._hosts and self._fleet.usable(host)
         )
@@ -190,10 +169,7 @@
 
     def _free_at(self, host: str, now: float) -> float:
         usage = self._fleet.hosts[host]
-        return max(
-            (self._end(job, now) for job in self._using(usage)),
-            default=now,
-        )
+        return max((self._end(job, now) for job in self._using(usage)), default=now)
 
     def _using(self, usage: HostUsage) -> Iterator[Job]:
         for job_id in usage.jobs:
--- a/libs/scheduling/src/bilberryhitch_scheduling/guaranteed_cells.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/guaranteed_cells.py
@@ -59,11 +59,11 @@
     """Which guaranteed cells exist, which are bound, and which can still be provided.
 
     Invariant: all unbound cells, except those reported as missing, fit at the same
-    time into cells that are free or used by borrowers only (the empty cells of
+    time into cells that are free or used only by borrowers (the empty cells of
     ``reclaimable``). Cells of one kind have equal contents, so it suffices to count
     cells by kind, largest guarantee first. The count is exact if the smallest fitting
-    kind is contained in every larger one. For racks with unused positions it may be
-    too low, never too high.
+    kind is contained in every larger one. For racks with gaps between the positions of
+    workers it may be too low, never too high.
 
     :param reclaimable: index in which accelerators are marked that protected jobs use,
         that lie in bound cells, or whose hosts take no new work
@@ -97,14 +97,16 @@
             if key not in self._counts:
                 self._by_account.setdefault(row.client_account, []).append(key)
             self._counts[key] = self._counts.get(key, 0) + row.cells
-        needs: dict[int, _SizeClass] = {}
+        size_classes: dict[int, _SizeClass] = {}
         for key, count in self._counts.items():
             size = key.accelerators
-            need = needs.get(size) or needs.setdefault(
+            size_class = size_classes.get(size) or size_classes.setdefault(
                 size, _SizeClass(self._tree, size)
             )
-            need.rows[key] = count
-        self._size_classes = [needs[size] for size in sorted(needs, reverse=True)]
+            size_class.rows[key] = count
+        self._size_classes = [
+            size_classes[size] for size in sorted(size_classes, reverse=True)
+        ]
         self._changes += 1
 
     def guaranteed_accelerators(self, client_account: str) -> int:
@@ -147,9 +149,9 @@
         """Return whether the guarantee has an unbound cell that is not missing."""
         if self.unbound_count(key) == 0:
             return False
-        for index, need in enumerate(self._size_classes):
-            if need.size == key.accelerators:
-                missing = self._missing_by_key(need, self.shortage()[index])
+        for index, size_class in enumerate(self._size_classes):
+            if size_class.size == key.accelerators:
+                missing = self._missing_by_key(size_class, self.shortage()[index])
                 return self.unbound_count(key) > missing.get(key, 0)
         return False
 
@@ -192,8 +194,10 @@
         Cells are provided largest first, within a size in table order.
         """
         found = []
-        for need, short in zip(self._size_classes, self.shortage(), strict=True):
-            for key, count in self._missing_by_key(need, short).items():
+        for size_class, shortage in zip(
+            self._size_classes, self.shortage(), strict=True
+        ):
+            for key, count in self._missing_by_key(size_class, shortage).items():
                 row = GuaranteeShortfall(
                     key.client_account, data_centre, key.accelerators, count
                 )
@@ -203,9 +207,9 @@
     def _count_shortage(self) -> tuple[int, ...]:
         used: dict[int, int] = {}
         found = []
-        for need in self._size_classes:
-            wanted = sum(self.unbound_count(key) for key in need.rows)
-            for kind in need.kinds:
+        for size_class in self._size_classes:
+            wanted = sum(self.unbound_count(key) for key in size_class.rows)
+            for kind in size_class.kinds:
                 if not wanted:
                     break
                 free = self._reclaimable.empty_counts[kind] - used.get(kind, 0)
@@ -218,14 +222,16 @@
             found.append(wanted)
         return tuple(found)
 
-    def _missing_by_key(self, need: _SizeClass, short: int) -> dict[GuaranteeKey, int]:
+    def _missing_by_key(
+        self, size_class: _SizeClass, shortage: int
+    ) -> dict[GuaranteeKey, int]:
         """Return the missing cells by guarantee, taken from the last rows first."""
         missing: dict[GuaranteeKey, int] = {}
-        for key in reversed(need.rows):
-            if not short:
+        for key in reversed(size_class.rows):
+            if not shortage:
                 break
-            given = min(short, self.unbound_count(key))
-            short -= given
+            given = min(shortage, self.unbound_count(key))
+            shortage -= given
             if given:
                 missing[key] = given
         return missing
--- a/libs/scheduling/src/bilberryhitch_scheduling/jobs.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/jobs.py
@@ -54,9 +54,9 @@
         "was_started",
     )
 
-    def __init__(self, queued: QueuedJob, size: float) -> None:
-        self.spec = queued
-        self.charged_accelerators = size
+    def __init__(self, spec: QueuedJob, charged_accelerators: float) -> None:
+        self.spec = spec
+        self.charged_accelerators = charged_accelerators
         self.entry: QueueEntry[Job] | None = None
         self.stage: JobStage = "queued"
         self.protected = False
--- a/libs/scheduling/src/bilberryhitch_scheduling/lifecycle.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/lifecycle.py
@@ -125,11 +125,11 @@
             self.capacity_freed = True
         self.shares.count_job(job.spec.client_account, -1)
 
-    def charge(self, job: Job, seconds: float) -> None:
+    def charge(self, job: Job, run_s: float) -> None:
         """Charge run time; usage inside a guarantee is not charged to the account."""
         spec = job.spec
-        cost = job.charged_accelerators * seconds
-        job.charged_s += seconds
+        cost = job.charged_accelerators * run_s
+        job.charged_s += run_s
         if not job.guaranteed:
             self.queue.charge(spec.client_account, cost, spec.kind, spec.caller)
         else:
--- a/libs/scheduling/src/bilberryhitch_scheduling/pool_workers.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/pool_workers.py
@@ -27,9 +27,7 @@
         """
         known = self._hosts.get(host.name)
         self._hosts[host.name] = host
-        return known is not None and _location_and_resources(
-            known
-        ) == _location_and_resources(host)
+        return known is not None and _layout(known) == _layout(host)
 
     def set_unusable(self, host: str, reason: str, value: bool) -> bool:
         """Add or remove a reason why a host takes no new work.
@@ -66,5 +64,5 @@
         return [row for row in rows if row.data_centre == self._data_centre]
 
 
-def _location_and_resources(host: Host) -> tuple[str, int, int, int, int]:
+def _layout(host: Host) -> tuple[str, int, int, int, int]:
     return host.rack, host.position, host.accelerators, host.cores, host.memory_gb
--- a/libs/scheduling/src/bilberryhitch_scheduling/run_time_estimates.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/run_time_estimates.py
@@ -8,6 +8,8 @@
 
 
 class _RunTimes:
+    """Run times in seconds, by time of observation and sorted."""
+
     __slots__ = ("newest", "ordered")
 
     def __init__(self) -> None:
--- a/libs/scheduling/src/bilberryhitch_scheduling/scheduler.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/scheduler.py
@@ -173,8 +173,8 @@
 
     def host_back(self, host: Host) -> None:
         """Report a worker that is new, changed or available again."""
-        same_place = self._workers.put(host)
-        if not same_place or host.name not in self._fleet.hosts:
+        unchanged = self._workers.put(host)
+        if not unchanged or host.name not in self._fleet.hosts:
             self._workers.set_unusable(host.name, "lost", False)
             self._rebuild_cells()
             return
@@ -196,11 +196,11 @@
         self._lifecycle.shares.set_rows(pool.shares)
         self._lifecycle.queue.limit = pool.max_queued
         self._workers.pool = pool
-        members = self._workers.workers()
-        if any(host.name not in self._fleet.hosts for host in members):
+        workers = self._workers.workers()
+        if any(host.name not in self._fleet.hosts for host in workers):
             self._rebuild_cells()
             return
-        names = {host.name for host in members}
+        names = {host.name for host in workers}
         for name in self._fleet.hosts:
             self._set_unusable(name, "removed", name not in names)
         self._allocator.guarantees.set_rows(self._workers.guarantees())
@@ -260,11 +260,13 @@
         for job in list(self._lifecycle.clearing.values()):
             self._lifecycle.release(job, 0.0)
             self._lifecycle.enqueue(job)
-        placed = [job for job in self._lifecycle.jobs.values() if job.stage != "queued"]
-        for job in placed:
+        allocated = [
+            job for job in self._lifecycle.jobs.values() if job.stage != "queued"
+        ]
+        for job in allocated:
             self._lifecycle.shares.count_usage(job, -1)
         self._build_cells()
-        for job in placed:
+        for job in allocated:
             placement = job.placement
             job.bound_cell = None
             self._allocator.adopt(job, placement, not job.protected)
