--- a/libs/gangs/src/bilberryhitch_gangs/gang.py
+++ b/libs/gangs/src/bilberryhitch_gangs/gang.py
@@ -9,7 +9,7 @@
 from .job_rows import JobRow, attempt_id
 from .worker_client import CALL_TIMEOUT_S, LeaseView, WorkerView
 
-TERM_S = 10.0
+LEASE_TERM_S = 10.0
 # With renewals every 3 s, answered within 1 s, an older report means that one was
 # missed. The gang gets no further renewals until every member has reported again.
 MAX_SEEN_AGE_S = 4.5
@@ -96,9 +96,9 @@
         if not self.running or self.end.done():
             return 0.0
         if len(self.members) == 1:
-            return TERM_S
+            return LEASE_TERM_S
         age = now - self.all_seen_at
-        return TERM_S - age if age <= MAX_SEEN_AGE_S else 0.0
+        return LEASE_TERM_S - age if age <= MAX_SEEN_AGE_S else 0.0
 
     def finish(self, reason: EndReason) -> None:
         """End the gang; only the first reason counts."""
--- a/libs/gangs/src/bilberryhitch_gangs/gang_start.py
+++ b/libs/gangs/src/bilberryhitch_gangs/gang_start.py
@@ -7,7 +7,7 @@
 from bilberryhitch_platform import Expect
 
 from .context import WORKER_ERRORS, PlannerContext
-from .gang import TERM_S, EndReason, Gang, MemberState
+from .gang import LEASE_TERM_S, EndReason, Gang, MemberState
 from .job_rows import JobRow, job_key, put_job
 from .worker_client import LeaseView, Reservation
 
@@ -94,9 +94,9 @@
         state.member.accelerators,
         shape.cores * state.member.tasks,
         shape.memory_gb * state.member.tasks,
-        TERM_S,
+        LEASE_TERM_S,
     )
-    state.extend_lease_expiry(asyncio.get_running_loop().time(), TERM_S)
+    state.extend_lease_expiry(asyncio.get_running_loop().time(), LEASE_TERM_S)
     return await context.workers.reserve(state.host, context.lease.epoch, wanted)
 
 
--- a/libs/gangs/src/bilberryhitch_gangs/reconcile.py
+++ b/libs/gangs/src/bilberryhitch_gangs/reconcile.py
@@ -7,7 +7,7 @@
 
 from .commit_resolution import STORE_RETRY_DELAY_S
 from .context import WORKER_ERRORS, PlannerContext
-from .gang import TERM_S, Gang
+from .gang import LEASE_TERM_S, Gang
 from .gang_run import supervise
 from .gang_start import flag_stale_epoch
 from .job_rows import JobRow, scan_jobs
@@ -106,7 +106,7 @@
     context.scheduler.adopt(queued_job(record, at), placement, record.borrowed, at)
     for name, state in gang.members.items():
         # The previous planner may have renewed until it was replaced.
-        state.extend_lease_expiry(at, TERM_S)
+        state.extend_lease_expiry(at, LEASE_TERM_S)
         answer = views[name]
         if answer is not None:
             gang.observe(name, *answer)
--- a/libs/gangs/src/bilberryhitch_gangs/renewal.py
+++ b/libs/gangs/src/bilberryhitch_gangs/renewal.py
@@ -8,7 +8,7 @@
 from bilberryhitch_telemetry import events, log
 
 from .context import WORKER_ERRORS, PlannerContext
-from .gang import TERM_S, EndReason, Gang
+from .gang import LEASE_TERM_S, EndReason, Gang
 from .gang_start import flag_stale_epoch
 from .job_rows import job_of_attempt
 from .probe import PROBE_PREFIX, probe_worker
@@ -78,7 +78,7 @@
     async def _renew(self, sent_at: float) -> None:
         token = self._context.lease.epoch
         due = self._due(sent_at)
-        term_s = min((term for _, term in due), default=TERM_S)
+        term_s = min((term for _, term in due), default=LEASE_TERM_S)
         for gang, _ in due:
             gang.members[self._host.name].extend_lease_expiry(sent_at, term_s)
         attempts = [gang.attempt_id for gang, _ in due]
--- a/tests/machines/test_point2_gangs.py
+++ b/tests/machines/test_point2_gangs.py
@@ -2,7 +2,7 @@
 
 import pytest
 from bilberryhitch_gangs import gang_start
-from bilberryhitch_gangs.gang import TERM_S, Gang
+from bilberryhitch_gangs.gang import LEASE_TERM_S, Gang
 from bilberryhitch_gangs.renewal import WorkerLink
 from bilberryhitch_standins import WorkerEvent
 
@@ -62,12 +62,12 @@
 
 
 def always_renewed(gang, now):
-    return TERM_S if gang.running else 0.0
+    return LEASE_TERM_S if gang.running else 0.0
 
 
 def always_due(link, now):
     gangs = link._context.gangs_on(link._host.name)
-    return [(gang, TERM_S) for gang in gangs]
+    return [(gang, LEASE_TERM_S) for gang in gangs]
 
 
 async def start_and_hope(context, gang):
