--- a/libs/gangs/src/bilberryhitch_gangs/active_planner.py
+++ b/libs/gangs/src/bilberryhitch_gangs/active_planner.py
@@ -21,8 +21,8 @@
 from .gang import EndReason
 from .gang_run import launch
 from .job_rows import JobRow, scan_jobs
+from .lease_renewal import WorkerLink
 from .reconcile import queued_job, reconcile
-from .renewal import WorkerLink
 
 JOB_POLL_INTERVAL_S = 1.0
 DECISION_INTERVAL_S = 0.25
--- a/tests/machines/test_point2_gangs.py
+++ b/tests/machines/test_point2_gangs.py
@@ -3,7 +3,7 @@
 import pytest
 from bilberryhitch_gangs import gang_start
 from bilberryhitch_gangs.gang import LEASE_TERM_S, Gang
-from bilberryhitch_gangs.renewal import WorkerLink
+from bilberryhitch_gangs.lease_renewal import WorkerLink
 from bilberryhitch_standins import WorkerEvent
 
 from .harness import Counts, Point, run_point
