--- a/libs/gangs/src/bilberryhitch_gangs/active_planner.py
+++ b/libs/gangs/src/bilberryhitch_gangs/active_planner.py
@@ -21,7 +21,7 @@
 from .gang import EndReason
 from .gang_run import launch
 from .job_rows import JobRow, scan_jobs
-from .lease_renewal import WorkerLink
+from .lease_renewal import LeaseRenewer
 from .reconcile import queued_job, reconcile
 
 JOB_POLL_INTERVAL_S = 1.0
@@ -64,7 +64,7 @@
         self._view = view
         self._pool = initial_view.pool
         self._placeable = {host.name for host in initial_view.hosts}
-        self._renewers: dict[str, WorkerLink] = {}
+        self._renewers: dict[str, LeaseRenewer] = {}
         self._renewer_tasks: dict[str, asyncio.Task[None]] = {}
         self._scanned_revision = 0
         self._reported_pool: Pool | None = None
@@ -228,7 +228,7 @@
             name for gang in self._context.gangs.values() for name in gang.members
         }
         for name in wanted - set(self._renewers):
-            link = WorkerLink(self._context, self._context.hosts[name])
+            link = LeaseRenewer(self._context, self._context.hosts[name])
             self._renewers[name] = link
             self._renewer_tasks[name] = self._context.spawn(link.run())
         for name in set(self._renewers) - wanted:
--- a/libs/gangs/src/bilberryhitch_gangs/lease_renewal.py
+++ b/libs/gangs/src/bilberryhitch_gangs/lease_renewal.py
@@ -26,7 +26,7 @@
 ACTIVE_LEASE_STATES = ("reserved", "running", "held")
 
 
-class WorkerLink:
+class LeaseRenewer:
     """Renews all leases on one worker with one message every 3 s.
 
     :ivar usable: whether the worker answers and runs no other pool's tasks
--- a/tests/machines/test_point2_gangs.py
+++ b/tests/machines/test_point2_gangs.py
@@ -3,7 +3,7 @@
 import pytest
 from bilberryhitch_gangs import gang_start
 from bilberryhitch_gangs.gang import LEASE_TERM_S, Gang
-from bilberryhitch_gangs.lease_renewal import WorkerLink
+from bilberryhitch_gangs.lease_renewal import LeaseRenewer
 from bilberryhitch_standins import WorkerEvent
 
 from .harness import Counts, Point, run_point
@@ -86,7 +86,7 @@
     "undo of a refused start": (
         [
             ("bilberryhitch_gangs.gang_run.start_all", start_and_hope),
-            (WorkerLink, "_due", always_due),
+            (LeaseRenewer, "_due", always_due),
         ],
         start_refused,
     ),
