--- a/libs/gangs/src/bilberryhitch_gangs/gang_run.py
+++ b/libs/gangs/src/bilberryhitch_gangs/gang_run.py
@@ -9,8 +9,7 @@
 from .context import PlannerContext
 from .gang import EndReason, Gang
 from .gang_start import mark_started, release_all, reserve_all, start_all
-from .job_rows import JobRow, get_job
-from .reclaim import (
+from .gang_stop import (
     CANCELLED_BETWEEN_ATTEMPTS,
     CANCELLED_QUEUED,
     AttemptOutcome,
@@ -18,6 +17,7 @@
     decide_outcome,
     stop_all,
 )
+from .job_rows import JobRow, get_job
 
 
 async def launch(context: PlannerContext, start: Start) -> None:
--- a/libs/gangs/src/bilberryhitch_gangs/job_service.py
+++ b/libs/gangs/src/bilberryhitch_gangs/job_service.py
@@ -37,6 +37,7 @@
 from expression import Error, Ok, Result
 
 from .commit_resolution import commit_and_resolve
+from .gang_stop import CANCELLED_BETWEEN_ATTEMPTS, CANCELLED_QUEUED
 from .job_accept import RESOLVE_TIMEOUT_S, AcceptError, JobAcceptance
 from .job_rows import (
     JobRow,
@@ -47,7 +48,6 @@
 )
 from .job_waiters import JobWaiters
 from .planner_lease import PlannerRow, planner_key
-from .reclaim import CANCELLED_BETWEEN_ATTEMPTS, CANCELLED_QUEUED
 
 # A task has certainly stopped one lease term (10 s) and one call timeout (1 s)
 # after the last renewal.
--- a/tests/machines/test_point5_jobs.py
+++ b/tests/machines/test_point5_jobs.py
@@ -4,7 +4,7 @@
 from functools import partial
 
 import pytest
-from bilberryhitch_gangs import gang_run, gang_start, job_accept, reclaim
+from bilberryhitch_gangs import gang_run, gang_start, gang_stop, job_accept
 from bilberryhitch_gangs.planner_lease import PlannerLease
 from bilberryhitch_standins import WorkerEvent
 
@@ -141,7 +141,7 @@
 NUMBERS = itertools.count()
 ABLATIONS = {
     "confirmation that nothing started": (
-        (reclaim, "_never_started", assume_unstarted),
+        (gang_stop, "_never_started", assume_unstarted),
         start_answer_lost,
     ),
     "expectations of the start mark": (
