--- a/libs/gangs/src/bilberryhitch_gangs/job_service.py
+++ b/libs/gangs/src/bilberryhitch_gangs/job_service.py
@@ -38,7 +38,7 @@
 
 from .commit_resolution import commit_and_resolve
 from .gang_stop import CANCELLED_BETWEEN_ATTEMPTS, CANCELLED_QUEUED
-from .job_accept import RESOLVE_TIMEOUT_S, AcceptError, JobAcceptance
+from .job_acceptance import RESOLVE_TIMEOUT_S, AcceptError, JobAcceptance
 from .job_rows import (
     JobRow,
     get_job,
--- a/tests/machines/test_point5_jobs.py
+++ b/tests/machines/test_point5_jobs.py
@@ -4,7 +4,7 @@
 from functools import partial
 
 import pytest
-from bilberryhitch_gangs import gang_run, gang_start, gang_stop, job_accept
+from bilberryhitch_gangs import gang_run, gang_start, gang_stop, job_acceptance
 from bilberryhitch_gangs.planner_lease import PlannerLease
 from bilberryhitch_standins import WorkerEvent
 
@@ -153,7 +153,7 @@
         checkpoint_refused,
     ),
     "claim of the key": (
-        (job_accept, "claim_key", lambda account, key: f"claims/{next(NUMBERS)}"),
+        (job_acceptance, "claim_key", lambda account, key: f"claims/{next(NUMBERS)}"),
         retry_elsewhere,
     ),
     "fencing token": (
