--- a/libs/app/src/bilberryhitch/entry_host.py
+++ b/libs/app/src/bilberryhitch/entry_host.py
@@ -245,7 +245,7 @@
         )
 
     def _job_changed(self, record: JobRecord) -> None:
-        self._jobs.changed(record)
+        self._jobs.notify_changed(record)
 
     def _broadcast_local(self, message: Message) -> None:
         self._link.broadcast(message, self._identity.data_centre)
--- a/libs/gangs/src/bilberryhitch_gangs/job_service.py
+++ b/libs/gangs/src/bilberryhitch_gangs/job_service.py
@@ -221,7 +221,7 @@
             return ExplainReply(message.job_id, explanation)
         return None
 
-    def changed(self, record: JobRecord) -> None:
+    def notify_changed(self, record: JobRecord) -> None:
         """Notify the entry hosts of the job's data centre of a new job row."""
         self._waiters.wake(record.job_id)
         self._notify_planners(record.job_id, JobNotice(record.job_id, record.state))
