--- a/tests/machines/world_point2_gangs.py
+++ b/tests/machines/world_point2_gangs.py
@@ -131,7 +131,7 @@
         self.scheduler = FirstFit(*arguments)
         return self.scheduler
 
-    # LocalPlanners and Link of the job service
+    # LocalPlanners and PeerChannel of the job service
     def wake(self, job_id):
         if self.alive:
             self.planner.wake()
