--- a/libs/planner/src/bilberryhitch_planner/__init__.py
+++ b/libs/planner/src/bilberryhitch_planner/__init__.py
@@ -1,5 +1,6 @@
 """The planner of jobs: placement, leases, reclaim, takeover and its journal."""
 
+from .active_planner import Candidate, Lead
 from .errors import (
     Deposed,
     MachinesUnknown,
@@ -7,7 +8,6 @@
     WorkerGone,
     WorkerUnreachable,
 )
-from .lead import Candidate, Lead
 from .planner import Planner
 from .reports import (
     Advice,
--- a/libs/planner/src/bilberryhitch_planner/lead.py
+++ b/libs/planner/src/bilberryhitch_planner/active_planner.py
@@ -20,32 +20,32 @@
 from bilberryhitch_telemetry import events, log
 
 from .errors import Deposed, Isolated, MachinesUnknown, WorkerFenced
-from .journal import Journal, read_progress, read_roster
+from .event_wait import wait_for_event
 from .planner import Planner
 from .reports import Advice, AdviseOrder, WorkerEntry
-from .session import Session
+from .state_writer import StateWriter, read_progress, read_roster
 from .tenure import WORKER_LEASE_HORIZON_S, Tenure
-from .upkeep import Upkeep, UpkeepCalls, Wave
-from .waiting import happens
+from .upkeep import UpkeepCalls, UpkeepController, Wave
 from .worker_calls import WorkerCalls
+from .worker_session import WorkerSession
 from .workers import CLOCK_DRIFT, LEASE_SLACK_S
 
 # Orders that become due by time alone wait at most this long.
-TICK_S = 0.1
+PLAN_PERIOD_S = 0.1
 # Changes within this time are planned together.
-BATCH_S = 0.004
+BATCH_DELAY_S = 0.004
 # A planner that loses most of its workers for this long steps down.
-ISOLATION_S = 2.0
+ISOLATION_TIMEOUT_S = 2.0
 ISOLATION_SHARE = 0.5
 # A worker that has not answered for this long is looked for in the list of
 # machines, this often; the list itself may be a second old.
-GONE_SILENCE_S = 1.8
-GONE_PERIOD_S = 0.5
+MACHINE_CHECK_SILENCE_S = 1.8
+MACHINE_CHECK_PERIOD_S = 0.5
 # A planned handover must leave most of the shutdown's time to open requests.
-RELEASE_S = 1.5
+RELEASE_TIMEOUT_S = 1.5
 CANCEL_PERIOD_S = 0.2
 # A run whose lease cannot outlast the next looks at its worker is not started.
-LEAST_LEASE_S = 1.5
+MIN_LEASE_S = 1.5
 # The least time after a takeover before the workers' silence is judged.
 ISOLATION_GRACE_S = 3.0
 
@@ -77,11 +77,10 @@
     ) -> None:
         horizon = WORKER_LEASE_HORIZON_S * (1 + CLOCK_DRIFT) + LEASE_SLACK_S
         self.planner = Planner(
-            inherited_revision=tenure.token,
-            inherited_until=tenure.renewed_at + horizon,
+            inherited_revision=tenure.token, inherited_until=tenure.renewed_at + horizon
         )
         self._wake = asyncio.Event()
-        self.journal = Journal(
+        self.journal = StateWriter(
             store, tenure, self.planner, keep_s=keep_s, on_stored=self._wake.set
         )
         self._store = store
@@ -91,7 +90,7 @@
         self._configuration = configuration
         self._machines = machines
         self._advise = advise
-        self._upkeep = Upkeep(
+        self._upkeep = UpkeepController(
             store,
             self.planner,
             self.journal,
@@ -106,14 +105,14 @@
             store,
             JOBS_TABLE,
             self._load_jobs,
-            self._take_job_row,
+            self._apply_job_row,
             partitions=JOB_PARTITIONS,
         )
         self._worker_rows = TableWatcher(
-            store, worker_table, self._load_workers, self._take_worker_row
+            store, worker_table, self._load_workers, self._apply_worker_row
         )
         self._inherited: dict[str, JobProgress] = {}
-        self._sessions: dict[str, Session] = {}
+        self._sessions: dict[str, WorkerSession] = {}
         self._group: asyncio.TaskGroup | None = None
         self._connected_at = time.monotonic() + ISOLATION_GRACE_S
 
@@ -129,7 +128,7 @@
             group.create_task(self._jobs.run())
             group.create_task(self._worker_rows.run())
             group.create_task(self._plan())
-            group.create_task(self.journal.sweep())
+            group.create_task(self.journal.remove_expired())
             group.create_task(self._upkeep.run())
             group.create_task(self._look_for_gone())
 
@@ -142,27 +141,27 @@
                 # Nobody else writes progress any more: the lease is held.
                 self._inherited = await read_progress(self._store)
                 await self._jobs.poll()
-                self.journal.take_orphans(self._inherited)
-                self.journal.count_waiting()
+                self.journal.adopt_orphans(self._inherited)
+                self.journal.enable_waiting_counts()
                 return
             except STORE_ERRORS as error:
                 log(events.DEPENDENCY_LOST, dependency="store", error=error)
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(PLAN_PERIOD_S)
 
     async def _plan(self) -> None:
         while True:
-            if await happens(self._wake, TICK_S):
-                await asyncio.sleep(BATCH_S)
+            if await wait_for_event(self._wake, PLAN_PERIOD_S):
+                await asyncio.sleep(BATCH_DELAY_S)
             self._wake.clear()
             now, unix_s = time.monotonic(), time.time()
             self._adopt_configuration()
             self.planner.tick(now=now, unix_s=unix_s)
-            may_start = self.journal.lease_limit - now > LEAST_LEASE_S
+            may_start = self.journal.worker_lease_limit - now > MIN_LEASE_S
             for order in self.planner.plan(now=now, unix_s=unix_s, may_start=may_start):
                 session = self._sessions.get(order.worker)
                 if session is not None:
                     self._spawn(session.send(order))
-            questions, self.planner.questions = self.planner.questions, []
+            questions, self.planner.advice_requests = self.planner.advice_requests, []
             for question in questions:
                 self._spawn(self._ask(question))
             self.journal.notify()
@@ -170,7 +169,7 @@
 
     async def _ask(self, question: AdviseOrder) -> None:
         advice = await self._advise(question)
-        self.planner.take_advice(question, advice, now=time.monotonic())
+        self.planner.apply_advice(question, advice, now=time.monotonic())
         self._changed()
 
     async def _look_for_gone(self) -> None:
@@ -180,7 +179,7 @@
         elsewhere long before its lease has lapsed.
         """
         while True:
-            await asyncio.sleep(GONE_PERIOD_S)
+            await asyncio.sleep(MACHINE_CHECK_PERIOD_S)
             silent = self._silent_workers(time.monotonic())
             if not silent:
                 continue
@@ -202,7 +201,8 @@
             name
             for name, worker in self.planner.workers.items()
             if (worker.runs or not worker.synced)
-            and now - max(worker.answered_at, worker.known_at) > GONE_SILENCE_S
+            and now - max(worker.answered_at, worker.discovered_at)
+            > MACHINE_CHECK_SILENCE_S
         ]
 
     def _adopt_configuration(self) -> None:
@@ -213,16 +213,16 @@
 
     def _check_isolation(self, now: float) -> None:
         listed = [
-            name for name, worker in self.planner.workers.items() if worker.listed
+            name for name, worker in self.planner.workers.items() if worker.registered
         ]
         lost = [
             name
             for name in listed
-            if name in self._sessions and self._sessions[name].lost
+            if name in self._sessions and self._sessions[name].unreachable
         ]
         if len(lost) <= max(1, len(listed) * ISOLATION_SHARE):
             self._connected_at = max(self._connected_at, now)
-        elif now - self._connected_at > ISOLATION_S:
+        elif now - self._connected_at > ISOLATION_TIMEOUT_S:
             log(events.PLANNER_ISOLATED, lost=len(lost), workers=len(listed))
             raise Isolated(len(lost), len(listed))
 
@@ -238,10 +238,10 @@
 
     def _load_jobs(self, rows: tuple[StoreRow, ...], revision: int) -> None:
         for row in rows:
-            self._take_job_row(row)
+            self._apply_job_row(row)
         log(events.JOBS_LOADED, jobs=len(self.planner.jobs), revision=revision)
 
-    def _take_job_row(self, row: StoreRow) -> None:
+    def _apply_job_row(self, row: StoreRow) -> None:
         if row.removed:
             return
         name, _, suffix = row.key.partition(".")
@@ -262,11 +262,7 @@
             progress = JobProgress(JobState.PENDING, request.account, {})
         self._adopt_configuration()
         self.planner.add_job(
-            request,
-            progress,
-            row.revision,
-            now=time.monotonic(),
-            unix_s=time.time(),
+            request, progress, row.revision, now=time.monotonic(), unix_s=time.time()
         )
 
     # Rows of workers.
@@ -277,9 +273,9 @@
             if name not in present:
                 self.planner.unlist_worker(name, now=time.monotonic())
         for row in rows:
-            self._take_worker_row(row)
+            self._apply_worker_row(row)
 
-    def _take_worker_row(self, row: StoreRow) -> None:
+    def _apply_worker_row(self, row: StoreRow) -> None:
         now = time.monotonic()
         if row.removed:
             log(events.WORKER_UNLISTED, worker=row.key, revision=row.revision)
@@ -300,7 +296,7 @@
             )
         self.planner.add_worker(entry, now=now)
         if entry.worker not in self._sessions:
-            session = Session(
+            session = WorkerSession(
                 entry.worker,
                 self.planner,
                 self.journal,
@@ -312,7 +308,7 @@
             self._spawn(self._attend(entry.worker, session))
         self._changed()
 
-    async def _attend(self, name: str, session: Session) -> None:
+    async def _attend(self, name: str, session: WorkerSession) -> None:
         try:
             await session.run()
         finally:
@@ -369,7 +365,7 @@
             except* Isolated as group:
                 _log_end(tenure, group)
                 await self._release(lead)
-                await asyncio.sleep(ISOLATION_S)
+                await asyncio.sleep(ISOLATION_TIMEOUT_S)
             except* Exception as group:
                 log(events.TASK_FAILED, error=group.exceptions[0])
             finally:
@@ -377,7 +373,7 @@
 
     async def _release(self, lead: Lead) -> None:
         try:
-            async with asyncio.timeout(RELEASE_S):
+            async with asyncio.timeout(RELEASE_TIMEOUT_S):
                 await lead.journal.release()
         except (Deposed, TimeoutError) as error:
             log(events.PLANNER_RELEASE_FAILED, error=error)
--- a/libs/planner/src/bilberryhitch_planner/advice.py
+++ b/libs/planner/src/bilberryhitch_planner/advice.py
@@ -8,14 +8,14 @@
 
 from .placement import task_slots
 from .reports import AdviseOrder
-from .units import StepBook
+from .units import StepOccurrence
 from .workers import Worker
 
 # The service answers later with each worker that is named.
-MOST_ASKED = 30
+MAX_WORKERS_PER_REQUEST = 30
 # A permission must outlast the start that uses it.
-LEAST_LEFT_S = 0.7
-RETRY_S = 0.3
+MIN_VALIDITY_S = 0.7
+ADVICE_MARGIN_S = 0.3
 
 
 class Permissions:
@@ -30,16 +30,16 @@
         """Return a worker's ticket; empty for none."""
         return self._tickets.get(worker, ("", 0.0))[0]
 
-    def holds(self, worker: str, now: float) -> bool:
+    def is_granted(self, worker: str, now: float) -> bool:
         """Return whether a worker may be used now."""
-        return self._tickets.get(worker, ("", 0.0))[1] > now + LEAST_LEFT_S
+        return self._tickets.get(worker, ("", 0.0))[1] > now + MIN_VALIDITY_S
 
-    def drop(self, worker: str) -> None:
+    def discard_ticket(self, worker: str) -> None:
         """Forget a ticket that a worker did not take."""
         self._tickets.pop(worker, None)
 
-    def request(
-        self, step: StepBook, workers: Sequence[Worker], now: float
+    def next_request(
+        self, step: StepOccurrence, workers: Sequence[Worker], now: float
     ) -> AdviseOrder | None:
         """Return whom to ask about, or None while an answer is due."""
         if now < self._ask_after:
@@ -48,22 +48,24 @@
             worker
             for worker in workers
             if worker.entry.worker not in self._refused
-            and not self.holds(worker.entry.worker, now)
+            and not self.is_granted(worker.entry.worker, now)
             and task_slots(worker, step.step) > 0
         ]
         if not unknown:
             return None
         # Gangs that are bound to a rack need answers for whole racks.
         unknown.sort(key=lambda worker: (worker.entry.rack, worker.entry.worker))
-        names = tuple(worker.entry.worker for worker in unknown[:MOST_ASKED])
+        names = tuple(
+            worker.entry.worker for worker in unknown[:MAX_WORKERS_PER_REQUEST]
+        )
         terms = step.job.queue.advice
-        due_s = RETRY_S
+        due_s = ADVICE_MARGIN_S
         if terms is not None:
             due_s += terms.base_latency_s + terms.latency_per_worker_s * len(names)
         self._ask_after = now + due_s
         return AdviseOrder(step.job.request.job, step.occurrence, step.index, names)
 
-    def take(
+    def apply_reply(
         self, asked: Sequence[str], granted: dict[str, str], valid_until: float
     ) -> None:
         """Take an answer; who was asked about and not granted is refused."""
--- a/libs/planner/src/bilberryhitch_planner/books.py
+++ b/libs/planner/src/bilberryhitch_planner/cluster_state.py
@@ -4,7 +4,7 @@
 from bilberryhitch_telemetry import events, log
 
 from .advice import Permissions
-from .reclaim import KeptRoom
+from .preemption import PendingPreemptions
 from .reports import (
     EndedTask,
     EndKind,
@@ -13,19 +13,19 @@
     StopOrder,
 )
 from .runs import Run, RunState
-from .speeds import ALL_DONE_PERCENT, observe
-from .units import JobBook, StepBook, Unit
+from .speeds import COMPLETE_PERCENT, update_speed
+from .units import StepOccurrence, TrackedJob, Unit
 from .workers import Worker
 
 # A run without progress for this part of its estimate stands still: one that is
 # slowed down eight times, on a worker of little speed, still gains several percent.
 STALL_SHARE = 0.25
 # Three looks at an urgent run; nothing that works stands still for longer.
-LEAST_STALL_S = 1.2
-MOST_STALL_S = 3.5
+MIN_STALL_TIMEOUT_S = 1.2
+MAX_STALL_TIMEOUT_S = 3.5
 
 
-class Books:
+class ClusterState:
     """Jobs, workers and the runs that join them.
 
     :ivar dirty: names of the jobs whose progress must be stored
@@ -35,22 +35,22 @@
     """
 
     def __init__(self) -> None:
-        self.jobs: dict[str, JobBook] = {}
+        self.jobs: dict[str, TrackedJob] = {}
         self.workers: dict[str, Worker] = {}
         self.dirty: set[str] = set()
         self.orders: list[Order] = []
-        self.ready: dict[tuple[str, int, int], StepBook] = {}
-        self.kept = KeptRoom()
+        self.ready: dict[tuple[str, int, int], StepOccurrence] = {}
+        self.preemptions = PendingPreemptions()
         self.permissions: dict[tuple[str, int, int], Permissions] = {}
 
-    def permissions_of(self, step: StepBook) -> Permissions | None:
+    def permissions_of(self, step: StepOccurrence) -> Permissions | None:
         """Return what is known of a step whose queue needs permissions."""
         if step.job.queue.advice is None:
             return None
         key = (step.job.request.job, step.occurrence, step.index)
         return self.permissions.setdefault(key, Permissions())
 
-    def open_steps(self, job: JobBook, now: float) -> None:
+    def queue_ready_steps(self, job: TrackedJob, now: float) -> None:
         """Let the steps run whose earlier steps are done."""
         for (occurrence, index), step in job.steps.items():
             key = (job.request.job, occurrence, index)
@@ -60,7 +60,7 @@
             for unit in step.waiting.values():
                 unit.waiting_since = max(unit.waiting_since, min(now, job.arrived_at))
 
-    def finish(self, job: JobBook, state: JobState, unix_s: float) -> None:
+    def finish_job(self, job: TrackedJob, state: JobState, unix_s: float) -> None:
         """End a job and stop what is left of it."""
         job.state = state
         job.finished_s = unix_s
@@ -74,20 +74,20 @@
         for occurrence, index in job.steps:
             self.ready.pop((name, occurrence, index), None)
             self.permissions.pop((name, occurrence, index), None)
-        self.kept.release_job(job)
+        self.preemptions.release_job(job)
 
-    def take_end(
+    def apply_ended(
         self, worker: Worker, ended: EndedTask, now: float, unix_s: float
     ) -> None:
         """Take an end that a worker lists; a known one is passed over."""
-        if ended.sequence <= worker.last_end:
+        if ended.sequence <= worker.last_end_sequence:
             return
-        worker.last_end = ended.sequence
+        worker.last_end_sequence = ended.sequence
         run = worker.runs.get((ended.task, ended.run))
         log(
             events.RUN_ENDED,
             request_id=ended.task.job,
-            task=task_text(ended.task),
+            task=format_task(ended.task),
             run=ended.run,
             worker=worker.entry.worker,
             how=str(ended.how),
@@ -95,7 +95,7 @@
             known=run is not None,
         )
         if run is not None:
-            self.run_ended(worker, run, ended.how, ended.saved, now, unix_s)
+            self.release_run(worker, run, ended.how, ended.saved, now, unix_s)
             return
         job = self.jobs.get(ended.task.job)
         unit = job.find_unit(ended.task) if job else None
@@ -104,9 +104,9 @@
         unit.last_run = max(unit.last_run, ended.run)
         same_run = all(run.number == ended.run for run in unit.runs.values())
         if same_run or ended.how is EndKind.FAILED:
-            self._settle(unit, ended.run, ended.how, ended.saved, now, unix_s)
+            self._apply_unit_end(unit, ended.run, ended.how, ended.saved, now, unix_s)
 
-    def run_ended(
+    def release_run(
         self,
         worker: Worker,
         run: Run,
@@ -127,9 +127,9 @@
         if unit.runs.get(run.task.ordinal) is run:
             del unit.runs[run.task.ordinal]
         if not unit.step.job.finished:
-            self._settle(unit, run.number, how, saved or run.saved, now, unix_s)
+            self._apply_unit_end(unit, run.number, how, saved or run.saved, now, unix_s)
 
-    def _settle(
+    def _apply_unit_end(
         self,
         unit: Unit,
         number: int,
@@ -153,28 +153,28 @@
         if how is EndKind.FAILED and not step.step.long_running:
             unit.failed_runs.add(number)
             if unit.attempts_left <= 0:
-                self.finish(job, JobState.FAILED, unix_s)
+                self.finish_job(job, JobState.FAILED, unix_s)
                 return
         for run in unit.runs.values():
             if run.number == number:
                 self.order_stop(run)
-        self._wait_again(unit, now)
+        self._requeue(unit, now)
 
     def _complete(self, unit: Unit, now: float, unix_s: float) -> None:
         step, job = unit.step, unit.step.job
         step.mark_done(unit)
         if job.complete:
-            self.finish(job, JobState.COMPLETED, unix_s)
+            self.finish_job(job, JobState.COMPLETED, unix_s)
         elif not step.undone:
-            self.open_steps(job, now)
+            self.queue_ready_steps(job, now)
 
-    def _wait_again(self, unit: Unit, now: float) -> None:
+    def _requeue(self, unit: Unit, now: float) -> None:
         """Queue a unit whose last run is gone."""
         if not unit.runs:
             unit.waiting_since = now
             unit.step.waiting[unit.index] = unit
 
-    def take_running(self, worker: Worker, running: RunningTask, now: float) -> None:
+    def apply_running(self, worker: Worker, running: RunningTask, now: float) -> None:
         """Take a run that a worker lists as running."""
         run = worker.runs.get((running.task, running.run))
         if run is None:
@@ -188,7 +188,7 @@
             run.percent = running.percent
             run.advanced_at = now
             if run.state is RunState.RUNNING:
-                observe(worker, run, now)
+                update_speed(worker, run, now)
         if running.saved:
             run.saved = running.saved
 
@@ -216,12 +216,12 @@
             now,
         )
         run.settled_at = now
-        run.pace_known = False
+        run.cpu_percent_known = False
         worker.add_run(run)
         log(
             events.RUN_ADOPTED,
             request_id=running.task.job,
-            task=task_text(running.task),
+            task=format_task(running.task),
             run=running.run,
             worker=worker.entry.worker,
             needed=needed,
@@ -248,7 +248,7 @@
         run.settled_at = None
         self.orders.append(StopOrder(run.worker, run.task, run.number))
 
-    def stop_others(self, run: Run) -> None:
+    def stop_other_members(self, run: Run) -> None:
         """Stop the other members of a gang that cannot come together."""
         if run.unit is None:
             return
@@ -256,7 +256,7 @@
             if other is not run:
                 self.order_stop(other)
 
-    def check_stall(self, worker: Worker, run: Run) -> None:
+    def stop_if_stalled(self, worker: Worker, run: Run) -> None:
         """Stop a unit of which a run stands still."""
         unit = run.unit
         if (
@@ -266,14 +266,14 @@
             # Its processor time is what others leave, which may be nothing.
             or unit.step.step.uses_idle_cpu
             # A gang's faster members wait for the others with their work done.
-            or run.percent >= ALL_DONE_PERCENT
-            or worker.answered_at - run.advanced_at < _stall_s(unit, run)
+            or run.percent >= COMPLETE_PERCENT
+            or worker.answered_at - run.advanced_at < _stall_timeout_s(unit, run)
         ):
             return
         log(
             events.RUN_STALLED,
             request_id=run.task.job,
-            task=task_text(run.task),
+            task=format_task(run.task),
             run=run.number,
             worker=run.worker,
             percent=run.percent,
@@ -283,18 +283,18 @@
             self.order_stop(each)
 
 
-def _stall_s(unit: Unit, run: Run) -> float:
+def _stall_timeout_s(unit: Unit, run: Run) -> float:
     """Return how long a run may show no progress.
 
     A gang begins with its last member, so one of which nothing has begun gets
     the longest time.
     """
     if not any(other.percent for other in unit.runs.values()):
-        return MOST_STALL_S
+        return MAX_STALL_TIMEOUT_S
     share_s = unit.step.step.estimate_s * STALL_SHARE
-    return min(max(share_s, LEAST_STALL_S), MOST_STALL_S)
+    return min(max(share_s, MIN_STALL_TIMEOUT_S), MAX_STALL_TIMEOUT_S)
 
 
-def task_text(task: TaskName) -> str:
+def format_task(task: TaskName) -> str:
     """Return a task's name for logs."""
     return f"{task.job}.{task.occurrence}.{task.step}.{task.ordinal}"
--- a/libs/planner/src/bilberryhitch_planner/waiting.py
+++ b/libs/planner/src/bilberryhitch_planner/event_wait.py
@@ -3,7 +3,7 @@
 import asyncio
 
 
-async def happens(event: asyncio.Event, timeout_s: float) -> bool:
+async def wait_for_event(event: asyncio.Event, timeout_s: float) -> bool:
     """Return whether an event is set within a time.
 
     ``asyncio.wait_for`` of CPython 3.11 drops a cancellation that meets the end of
--- a/libs/planner/src/bilberryhitch_planner/guarantees.py
+++ b/libs/planner/src/bilberryhitch_planner/guarantees.py
@@ -33,15 +33,15 @@
 
     def claim(self, unit: Unit) -> None:
         """Count a unit that is about to be started."""
-        self._add(unit, unit_gpu(unit))
+        self._add(unit, unit_gpus(unit))
 
     def covers(self, unit: Unit) -> bool:
         """Return whether a unit that waits is within its account's guarantee."""
         account = unit.step.job.request.account
-        wanted = self._held.get(account, 0) + unit_gpu(unit)
+        wanted = self._held.get(account, 0) + unit_gpus(unit)
         return wanted <= self._guaranteed.get(account, 0)
 
-    def allows_eviction(self, unit: Unit) -> bool:
+    def allows_preemption(self, unit: Unit) -> bool:
         """Return whether a unit uses what is guaranteed to nobody or to others."""
         job = unit.step.job
         if unit.step.step.long_running:
@@ -49,7 +49,7 @@
         if job.queue.priority > 0:
             return True
         account = job.request.account
-        rest = self._held.get(account, 0) - unit_gpu(unit)
+        rest = self._held.get(account, 0) - unit_gpus(unit)
         return rest >= self._guaranteed.get(account, 0)
 
     def _add(self, unit: Unit, gpu: int) -> None:
@@ -59,6 +59,6 @@
             self._held[account] = self._held.get(account, 0) + gpu
 
 
-def unit_gpu(unit: Unit) -> int:
+def unit_gpus(unit: Unit) -> int:
     """Return the accelerators that a unit needs in all."""
     return len(unit.task_indexes) * unit.step.step.demand.gpu
--- a/libs/planner/src/bilberryhitch_planner/liveness.py
+++ b/libs/planner/src/bilberryhitch_planner/liveness.py
@@ -5,10 +5,10 @@
 
 # A host behind a cut answers nothing; its process may live on.
 CONNECT_TIMEOUT_S = 1.0
-PAUSE_S = 0.5
+PROBE_INTERVAL_S = 0.5
 
 
-async def process_ended(address: str) -> None:
+async def wait_for_process_end(address: str) -> None:
     """Return when nothing listens at an address any more.
 
     The kernel of a host closes the connections of a process that was killed and
@@ -25,7 +25,7 @@
         except ConnectionRefusedError:
             return
         except (OSError, TimeoutError):
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
             continue
         try:
             with suppress(OSError):
--- a/libs/planner/src/bilberryhitch_planner/placement.py
+++ b/libs/planner/src/bilberryhitch_planner/placement.py
@@ -8,12 +8,12 @@
 
 from bilberryhitch_jobs import Resources, Step
 
-from .speeds import DISTURBED
+from .speeds import SLOW_WORKER_SPEED
 from .units import Unit
 from .workers import Worker
 
 # Differences below this are noise of the estimate.
-SPEED_STEP = 0.15
+SPEED_RESOLUTION = 0.15
 # Part of a pool's workers that is spared for urgent work.
 HEADROOM_SHARE = 1 / 8
 HEADROOM_IDLE_SHARE = 0.5
@@ -68,7 +68,7 @@
     return slots(worker.entry.capacity, step)
 
 
-def suits(worker: Worker, step: Step) -> bool:
+def matches_labels(worker: Worker, step: Step) -> bool:
     """Return whether a worker's labels allow a step."""
     return not step.required_label or step.required_label in worker.entry.labels
 
@@ -85,8 +85,8 @@
     :param across_racks: more than one rack will do if no single one has room
     """
     step = unit.step.step
-    order = _fastest if unit.step.job.queue.priority == 0 else _tightness
-    groups = bound_groups(step, workers, pool)
+    order = _fastest_first if unit.step.job.queue.priority == 0 else _fullest_first
+    groups = locality_groups(step, workers, pool)
     filled = [found for group in groups if (found := _fill(group, step, order))]
     if not filled and across_racks:
         filled = [found] if (found := _fill(list(workers), step, order)) else []
@@ -96,57 +96,57 @@
     return dict(zip(unit.task_indexes, best[1], strict=True))
 
 
-def bound_groups(
+def locality_groups(
     step: Step, workers: Sequence[Worker], pool: Sequence[Worker]
 ) -> list[list[Worker]]:
     """Return groups of workers in one of which a gang should run as a whole."""
-    racks = _bound_racks(step, pool)
+    racks = _locality_racks(step, pool)
     if not racks:
         return [list(workers)]
-    by_rack = _racks(workers)
+    by_rack = _group_by_rack(workers)
     return [by_rack.get(rack, []) for rack in racks]
 
 
-def _bound_racks(step: Step, pool: Sequence[Worker]) -> list[str]:
+def _locality_racks(step: Step, pool: Sequence[Worker]) -> list[str]:
     """Return the racks one of which a gang should be on; none if it is free."""
-    racks = _racks(pool)
-    if step.data_rack and _could_hold(racks.get(step.data_rack, ()), step):
+    racks = _group_by_rack(pool)
+    if step.data_rack and _holds_when_empty(racks.get(step.data_rack, ()), step):
         return [step.data_rack]
     if not step.same_rack and not step.data_rack:
         return []
-    return [name for name, rack in racks.items() if _could_hold(rack, step)]
+    return [name for name, rack in racks.items() if _holds_when_empty(rack, step)]
 
 
 def place_task(
-    unit: Unit, workers: Iterable[Worker], *, anywhere: bool
+    unit: Unit, workers: Iterable[Worker], *, any_rack: bool
 ) -> Worker | None:
     """Return a worker for a single task, or None if there is no room.
 
-    :param anywhere: a rack without the task's data will do
+    :param any_rack: a rack without the task's data will do
     """
     step = unit.step.step
-    booked = _booked(unit) if step.max_tasks_per_worker else {}
+    booked = _tasks_by_worker(unit) if step.max_tasks_per_worker else {}
     best: tuple[tuple[object, ...], Worker] | None = None
     for worker in workers:
         away = bool(step.data_rack) and worker.entry.rack != step.data_rack
-        if away and not anywhere:
+        if away and not any_rack:
             continue
         if task_slots(worker, step, booked.get(worker.entry.worker, 0)) < 1:
             continue
-        rank = (away, *_tightness(worker), worker.entry.worker)
+        rank = (away, *_fullest_first(worker), worker.entry.worker)
         if best is None or rank < best[0]:
             best = (rank, worker)
     return best[1] if best else None
 
 
-def _racks(workers: Iterable[Worker]) -> dict[str, list[Worker]]:
+def _group_by_rack(workers: Iterable[Worker]) -> dict[str, list[Worker]]:
     racks: dict[str, list[Worker]] = {}
     for worker in workers:
         racks.setdefault(worker.entry.rack, []).append(worker)
     return racks
 
 
-def _could_hold(rack: Iterable[Worker], step: Step) -> bool:
+def _holds_when_empty(rack: Iterable[Worker], step: Step) -> bool:
     return sum(total_slots(worker, step) for worker in rack) >= step.task_count
 
 
@@ -165,7 +165,7 @@
     return None
 
 
-def _booked(unit: Unit) -> dict[str, int]:
+def _tasks_by_worker(unit: Unit) -> dict[str, int]:
     """Count the tasks of the unit's occurrence by worker."""
     counts: dict[str, int] = {}
     for other in unit.step.units.values():
@@ -174,11 +174,11 @@
     return counts
 
 
-def _tightness(worker: Worker) -> tuple[float, ...]:
+def _fullest_first(worker: Worker) -> tuple[float, ...]:
     """Sort the fullest workers first, and slowed ones last."""
-    return worker.speed < DISTURBED, worker.free.gpu, worker.free.cpu
+    return worker.speed < SLOW_WORKER_SPEED, worker.free.gpu, worker.free.cpu
 
 
-def _fastest(worker: Worker) -> tuple[float, ...]:
+def _fastest_first(worker: Worker) -> tuple[float, ...]:
     """Sort the fastest workers first: a gang ends with its slowest member."""
-    return -round(worker.speed / SPEED_STEP), worker.free.gpu, worker.free.cpu
+    return -round(worker.speed / SPEED_RESOLUTION), worker.free.gpu, worker.free.cpu
--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -16,9 +16,9 @@
 )
 from bilberryhitch_telemetry import events, log
 
-from .books import Books, task_text
+from .cluster_state import ClusterState, format_task
 from .guarantees import Guarantees
-from .ordering import job_order
+from .ordering import step_sort_key
 from .reports import (
     Advice,
     AdviseOrder,
@@ -32,20 +32,20 @@
     WorkerEntry,
 )
 from .reservations import Reservations
-from .rounds import Round
 from .runs import RunState
-from .sharing import pace_orders
-from .speeds import recover
-from .units import JobBook, StepBook
+from .scheduling_round import SchedulingRound
+from .speeds import recover_speed
+from .throttling import throttle_orders
+from .units import StepOccurrence, TrackedJob
 from .workers import Worker
 
 # After an order that did not lead to a run.
-RETRY_S = 0.15
+START_RETRY_DELAY_S = 0.15
 # A worker that starts again at an address this soon after another ended there may
 # be going down and up by turns.
-CRASH_MEMORY_S = 8.0
+RESTART_MEMORY_S = 8.0
 # Workers list at most this many ends in an answer.
-ENDS_PER_REPORT = 500
+MAX_ENDS_PER_REPLY = 500
 
 
 class Planner:
@@ -66,9 +66,9 @@
         inherited_revision: int,
         inherited_until: float,
     ) -> None:
-        self._books = Books()
+        self._state = ClusterState()
         self.rostered: frozenset[str] = frozenset()
-        self.withheld: frozenset[str] = frozenset()
+        self.cordoned: frozenset[str] = frozenset()
         self._inherited_revision = inherited_revision
         self._inherited_until = inherited_until
         self._confirmed_revision = inherited_revision
@@ -76,31 +76,31 @@
         self._queues: dict[str, Queue] = {}
         self._guarantees = Guarantees()
         # When a worker ended at an address, and its failures until then.
-        self._ended_at: dict[str, tuple[float, int]] = {}
-        self._reserved: Reservations | None = None
-        self.questions: list[AdviseOrder] = []
+        self._recent_ends: dict[str, tuple[float, int]] = {}
+        self._reservations: Reservations | None = None
+        self.advice_requests: list[AdviseOrder] = []
 
     @property
-    def jobs(self) -> dict[str, JobBook]:
+    def jobs(self) -> dict[str, TrackedJob]:
         """Accepted jobs by name."""
-        return self._books.jobs
+        return self._state.jobs
 
     @property
     def workers(self) -> dict[str, Worker]:
         """Workers by the name of their incarnation."""
-        return self._books.workers
+        return self._state.workers
 
     @property
     def dirty(self) -> set[str]:
         """Names of the jobs whose progress must be stored."""
-        return self._books.dirty
+        return self._state.dirty
 
     @dirty.setter
     def dirty(self, names: set[str]) -> None:
-        self._books.dirty = names
+        self._state.dirty = names
 
     @property
-    def unconfirmed(self) -> bool:
+    def has_unconfirmed_jobs(self) -> bool:
         """Whether a job waits for proof that the lease outlasted its acceptance."""
         return self._newest_revision > self._confirmed_revision
 
@@ -113,7 +113,7 @@
         self._confirmed_revision = max(self._confirmed_revision, revision)
 
     @property
-    def unrostered(self) -> bool:
+    def roster_outdated(self) -> bool:
         """Whether a worker waits for being named to a later planner."""
         return any(name not in self.rostered for name in self.workers)
 
@@ -137,7 +137,7 @@
         if request.job in self.jobs:
             return
         age = max(0.0, unix_s - request.accepted_s)
-        job = JobBook(
+        job = TrackedJob(
             request,
             progress,
             revision=revision,
@@ -149,20 +149,20 @@
         if job.finished:
             return
         if job.complete:
-            self._books.finish(job, JobState.COMPLETED, unix_s)
+            self._state.finish_job(job, JobState.COMPLETED, unix_s)
             return
         for unit in job.units:
             if not unit.done and unit.failed_runs and unit.attempts_left <= 0:
-                self._books.finish(job, JobState.FAILED, unix_s)
+                self._state.finish_job(job, JobState.FAILED, unix_s)
                 return
         self._newest_revision = max(self._newest_revision, revision)
-        self._books.open_steps(job, now)
+        self._state.queue_ready_steps(job, now)
 
     def cancel_job(self, name: str, *, unix_s: float) -> None:
         """Stop a job; one that has ended stays as it is."""
         job = self.jobs.get(name)
         if job is not None and not job.finished:
-            self._books.finish(job, JobState.CANCELLED, unix_s)
+            self._state.finish_job(job, JobState.CANCELLED, unix_s)
 
     def forget_job(self, name: str) -> None:
         """Drop a finished job whose rows are removed."""
@@ -185,11 +185,13 @@
             worker = Worker(entry, now)
             worker.lease_until = max(now, self._inherited_until)
             self.workers[entry.worker] = worker
-            ended_at, failures = self._ended_at.pop(entry.address, (-CRASH_MEMORY_S, 0))
-            if now - ended_at < CRASH_MEMORY_S:
+            ended_at, failures = self._recent_ends.pop(
+                entry.address, (-RESTART_MEMORY_S, 0)
+            )
+            if now - ended_at < RESTART_MEMORY_S:
                 worker.failures = failures
                 worker.note_failure(now)
-        worker.listed = True
+        worker.registered = True
         worker.update_entry(entry)
         return worker
 
@@ -198,7 +200,7 @@
         worker = self.workers.get(name)
         if worker is None:
             return
-        worker.listed = False
+        worker.registered = False
         if not worker.runs and worker.synced:
             del self.workers[name]
 
@@ -208,14 +210,14 @@
         if worker is None:
             return
         log(events.WORKER_GONE, worker=name, runs=len(worker.runs))
-        self._ended_at = {
+        self._recent_ends = {
             address: ended
-            for address, ended in self._ended_at.items()
-            if now - ended[0] < CRASH_MEMORY_S
+            for address, ended in self._recent_ends.items()
+            if now - ended[0] < RESTART_MEMORY_S
         }
-        self._ended_at[worker.entry.address] = (now, worker.failures)
+        self._recent_ends[worker.entry.address] = (now, worker.failures)
         for run in list(worker.runs.values()):
-            self._books.run_ended(worker, run, EndKind.LAPSED, "", now, unix_s)
+            self._state.release_run(worker, run, EndKind.LAPSED, "", now, unix_s)
 
     def report(
         self,
@@ -236,8 +238,8 @@
         if worker.born_ms not in (0, report.born_ms):
             # Another life under the same identifier: nothing of before is left.
             for run in list(worker.runs.values()):
-                self._books.run_ended(worker, run, EndKind.LAPSED, "", now, unix_s)
-            worker.last_end = 0
+                self._state.release_run(worker, run, EndKind.LAPSED, "", now, unix_s)
+            worker.last_end_sequence = 0
             worker.note_failure(now)
         worker.born_ms = report.born_ms
         worker.set_clock(report.clock_s, now)
@@ -245,17 +247,19 @@
             worker.synced = True
             log(events.WORKER_SYNCED, worker=name, running=len(report.running))
         for ended in report.ended:
-            self._books.take_end(worker, ended, now, unix_s)
+            self._state.apply_ended(worker, ended, now, unix_s)
         listed = set()
         for running in report.running:
             listed.add((running.task, running.run))
-            self._books.take_running(worker, running, now)
-        self._books.orders += pace_orders(worker, now)
-        if len(report.ended) < ENDS_PER_REPORT:
+            self._state.apply_running(worker, running, now)
+        self._state.orders += throttle_orders(worker, now)
+        if len(report.ended) < MAX_ENDS_PER_REPLY:
             for key, run in list(worker.runs.items()):
                 settled = run.settled_at is not None and run.settled_at < sent_at
                 if key not in listed and settled:
-                    self._books.run_ended(worker, run, EndKind.LAPSED, "", now, unix_s)
+                    self._state.release_run(
+                        worker, run, EndKind.LAPSED, "", now, unix_s
+                    )
 
     def start_answered(
         self,
@@ -283,7 +287,7 @@
         log(
             events.START_NOT_DONE,
             request_id=order.task.job,
-            task=task_text(order.task),
+            task=format_task(order.task),
             run=order.run,
             worker=order.worker,
             outcome=str(outcome),
@@ -292,21 +296,21 @@
         if outcome in (StartOutcome.REFUSED, StartOutcome.NO_ROOM):
             worker.note_refusal(now)
         if run.unit is not None:
-            run.unit.retry_at = now + RETRY_S
-            permissions = self._books.permissions_of(run.unit.step)
+            run.unit.retry_at = now + START_RETRY_DELAY_S
+            permissions = self._state.permissions_of(run.unit.step)
             if outcome is StartOutcome.NO_TICKET and permissions is not None:
-                permissions.drop(order.worker)
+                permissions.discard_ticket(order.worker)
         if outcome is StartOutcome.OLD:
             # It has ended there, or can never begin; the next list tells.
             run.state = RunState.STOPPING
             run.settled_at = now
-            self._books.stop_others(run)
+            self._state.stop_other_members(run)
         elif certain and outcome is not StartOutcome.UNKNOWN:
-            self._books.run_ended(worker, run, EndKind.STOPPED, "", now, unix_s)
+            self._state.release_run(worker, run, EndKind.STOPPED, "", now, unix_s)
         else:
             worker.note_refusal(now)
-            self._books.order_stop(run)
-            self._books.stop_others(run)
+            self._state.order_stop(run)
+            self._state.stop_other_members(run)
 
     def stop_answered(
         self, order: StopOrder, outcome: StopOutcome, *, now: float
@@ -317,13 +321,13 @@
         if run is not None and outcome is StopOutcome.STOPPED:
             run.settled_at = now
 
-    def take_advice(
+    def apply_advice(
         self, order: AdviseOrder, advice: Advice | None, *, now: float
     ) -> None:
         """Take the advice service's answer; None if there was none."""
-        known = self._books.permissions.get((order.job, order.occurrence, order.step))
+        known = self._state.permissions.get((order.job, order.occurrence, order.step))
         if known is not None and advice is not None:
-            known.take(order.workers, advice.granted, now + advice.valid_s)
+            known.apply_reply(order.workers, advice.granted, now + advice.valid_s)
             log(
                 events.ADVICE_TAKEN,
                 request_id=order.job,
@@ -336,18 +340,20 @@
     def tick(self, *, now: float, unix_s: float) -> None:
         """Release what has lapsed and stop what stands still."""
         for name, worker in list(self.workers.items()):
-            recover(worker)
+            recover_speed(worker)
             if now > worker.lease_until:
                 if worker.runs:
                     log(events.WORKER_LAPSED, worker=name, runs=len(worker.runs))
-                worker.synced = worker.synced or not worker.listed
+                worker.synced = worker.synced or not worker.registered
                 for run in list(worker.runs.values()):
-                    self._books.run_ended(worker, run, EndKind.LAPSED, "", now, unix_s)
-                if not worker.listed:
+                    self._state.release_run(
+                        worker, run, EndKind.LAPSED, "", now, unix_s
+                    )
+                if not worker.registered:
                     del self.workers[name]
                 continue
             for run in list(worker.runs.values()):
-                self._books.check_stall(worker, run)
+                self._state.stop_if_stalled(worker, run)
 
     def add_doubtful(self, name: str, *, now: float) -> None:
         """Note an unregistered worker on which something may still run."""
@@ -355,7 +361,7 @@
             entry = WorkerEntry(name, "", "", "", Resources(), frozenset(), "")
             worker = Worker(entry, now)
             worker.lease_until = max(now, self._inherited_until)
-            worker.listed = False
+            worker.registered = False
             self.workers[name] = worker
 
     # Decisions.
@@ -368,14 +374,14 @@
         usable: dict[str, list[Worker]] = {}
         for worker in self.workers.values():
             name = worker.entry.worker
-            if name in self.rostered - self.withheld and worker.usable(now):
+            if name in self.rostered - self.cordoned and worker.usable(now):
                 usable.setdefault(worker.entry.service, []).append(worker)
         self._guarantees.count(self.workers.values())
-        round_ = Round(
-            self._books,
+        round_ = SchedulingRound(
+            self._state,
             self._guarantees,
             usable,
-            former=self._reserved,
+            previous=self._reservations,
             blocked=self.inheritance_open and now < self._inherited_until,
             now=now,
         )
@@ -383,9 +389,9 @@
             confirmed = step.job.revision <= self._confirmed_revision
             if confirmed and step.job.request.due_s(step.occurrence) <= unix_s:
                 round_.place_step(step)
-        self._reserved = round_.reserved
-        self.questions += round_.questions
-        orders, self._books.orders = self._books.orders, []
+        self._reservations = round_.reserved
+        self.advice_requests += round_.advice_requests
+        orders, self._state.orders = self._state.orders, []
         return orders
 
     def waiting_counts(self) -> dict[str, int]:
@@ -397,6 +403,6 @@
                 counts[name] = counts.get(name, 0) + 1
         return counts
 
-    def _steps_in_order(self, now: float) -> list[StepBook]:
-        steps = [step for step in self._books.ready.values() if step.waiting]
-        return sorted(steps, key=lambda step: job_order(step, now))
+    def _steps_in_order(self, now: float) -> list[StepOccurrence]:
+        steps = [step for step in self._state.ready.values() if step.waiting]
+        return sorted(steps, key=lambda step: step_sort_key(step, now))
--- a/libs/planner/src/bilberryhitch_planner/reclaim.py
+++ b/libs/planner/src/bilberryhitch_planner/preemption.py
@@ -7,18 +7,18 @@
 
 from .placement import slots, total_slots
 from .runs import Run, RunState
-from .units import JobBook, Unit
+from .units import TrackedJob, Unit
 from .workers import Worker
 
 # An accelerator's work is worth this many cores in what a stop throws away.
 CORES_PER_GPU = 8
 # A stop takes less than a second; after this the room is given up.
-KEEP_S = 1.2
+HOLD_TIMEOUT_S = 1.2
 # A run that saves its progress loses at most about this much.
-SAVE_PERIOD_S = 1.0
+CHECKPOINT_PERIOD_S = 1.0
 
 
-class Eviction(NamedTuple):
+class PreemptionPlan(NamedTuple):
     """A way to make room.
 
     :param units: what is stopped
@@ -33,24 +33,24 @@
     across_racks: bool = False
 
 
-class KeptRoom:
+class PendingPreemptions:
     """Workers whose room is being made for one unit."""
 
     def __init__(self) -> None:
         self._units: dict[str, Unit] = {}
         self._until: dict[str, float] = {}
 
-    def keep(self, workers: tuple[str, ...], unit: Unit, now: float) -> None:
+    def hold_workers(self, workers: tuple[str, ...], unit: Unit, now: float) -> None:
         """Keep workers for a unit for a while."""
         for name in workers:
             self._units[name] = unit
-            self._until[name] = now + KEEP_S
+            self._until[name] = now + HOLD_TIMEOUT_S
 
     def allows(self, worker: Worker, unit: Unit) -> bool:
         """Return whether a unit may use a worker."""
         return self._units.get(worker.entry.worker, unit) is unit
 
-    def awaits_room(self, unit: Unit, now: float) -> bool:
+    def pending_for(self, unit: Unit, now: float) -> bool:
         """Return whether room for the unit should still become free."""
         return any(
             now < self._until[name]
@@ -63,19 +63,19 @@
         for name in [name for name, kept in self._units.items() if kept is unit]:
             del self._units[name], self._until[name]
 
-    def release_job(self, job: JobBook) -> None:
+    def release_job(self, job: TrackedJob) -> None:
         """Give up what is kept for a job."""
         for unit in list(self._units.values()):
             if unit.step.job is job:
                 self.release(unit)
 
 
-def find_eviction(
+def plan_preemption(
     unit: Unit,
     workers: Sequence[Worker],
     evictable: Callable[[Unit], bool],
     now: float,
-) -> Eviction | None:
+) -> PreemptionPlan | None:
     """Return the cheapest way to make room for a unit, in one rack if it needs one."""
     step = unit.step.step
     missing = len(unit.task_indexes)
@@ -84,63 +84,67 @@
         for worker in workers:
             racks.setdefault(worker.entry.rack, []).append(worker)
         groups = list(racks.values())
-        eviction = choose_eviction(step, missing, groups, evictable, now)
+        eviction = cheapest_preemption(step, missing, groups, evictable, now)
         if eviction is not None:
             return eviction
-        eviction = choose_eviction(step, missing, [workers], evictable, now)
+        eviction = cheapest_preemption(step, missing, [workers], evictable, now)
         return eviction and eviction._replace(across_racks=True)
-    return choose_eviction(step, missing, [workers], evictable, now)
+    return cheapest_preemption(step, missing, [workers], evictable, now)
 
 
-def choose_eviction(
+def cheapest_preemption(
     step: Step,
     missing: int,
     racks: Sequence[Sequence[Worker]],
     evictable: Callable[[Unit], bool],
     now: float,
-) -> Eviction | None:
+) -> PreemptionPlan | None:
     """Return the cheapest eviction that makes room for ``missing`` tasks.
 
     :param racks: groups of workers; all tasks go into one of them
     :param evictable: whether a unit may be stopped
     """
-    options = (_clear(step, missing, rack, evictable, now) for rack in racks)
+    options = (_preempt_group(step, missing, rack, evictable, now) for rack in racks)
     return min(filter(None, options), key=lambda eviction: eviction.cost, default=None)
 
 
-def lost_work(unit: Unit, now: float) -> float:
+def lost_core_seconds(unit: Unit, now: float) -> float:
     """Return core-seconds that a stop of a unit throws away."""
     step = unit.step.step
     cores = step.demand.cpu / 1000 + step.demand.gpu * CORES_PER_GPU
     elapsed = max((now - run.ordered_at for run in unit.runs.values()), default=0.0)
     if step.saves_progress:
-        elapsed = min(elapsed, SAVE_PERIOD_S)
+        elapsed = min(elapsed, CHECKPOINT_PERIOD_S)
     return cores * elapsed * len(unit.runs)
 
 
-def _clear(
+def _preempt_group(
     step: Step,
     missing: int,
     workers: Sequence[Worker],
     evictable: Callable[[Unit], bool],
     now: float,
-) -> Eviction | None:
+) -> PreemptionPlan | None:
     stopped: dict[int, Unit] = {}
     used: list[str] = []
     cost = 0.0
     found = 0
     plans = sorted(
-        (plan for worker in workers if (plan := _plan(step, worker, evictable, now))),
+        (
+            plan
+            for worker in workers
+            if (plan := _plan_worker(step, worker, evictable, now))
+        ),
         key=lambda plan: plan.cost / plan.slots,
     )
     for plan in plans:
         fresh = [unit for unit in plan.units if id(unit) not in stopped]
-        cost += sum(lost_work(unit, now) for unit in fresh)
+        cost += sum(lost_core_seconds(unit, now) for unit in fresh)
         stopped.update((id(unit), unit) for unit in fresh)
         used.append(plan.worker)
         found += plan.slots
         if found >= missing:
-            return Eviction(tuple(stopped.values()), tuple(used), cost)
+            return PreemptionPlan(tuple(stopped.values()), tuple(used), cost)
     return None
 
 
@@ -151,7 +155,7 @@
     cost: float
 
 
-def _plan(
+def _plan_worker(
     step: Step, worker: Worker, evictable: Callable[[Unit], bool], now: float
 ) -> _WorkerPlan | None:
     """Stop the cheapest runs of a worker until no further task would fit."""
@@ -161,8 +165,8 @@
             free = free.plus(run.demand)
     most = total_slots(worker, step)
     victims = sorted(
-        (run for run in worker.runs.values() if _may_stop(run, evictable)),
-        key=lambda run: lost_work(run.unit, now) if run.unit else 0.0,
+        (run for run in worker.runs.values() if _may_preempt(run, evictable)),
+        key=lambda run: lost_core_seconds(run.unit, now) if run.unit else 0.0,
     )
     best = slots(free, step)
     taken: list[Unit] = []
@@ -176,11 +180,14 @@
         return None
     units = tuple({id(unit): unit for unit in taken}.values())
     return _WorkerPlan(
-        worker.entry.worker, best, units, sum(lost_work(unit, now) for unit in units)
+        worker.entry.worker,
+        best,
+        units,
+        sum(lost_core_seconds(unit, now) for unit in units),
     )
 
 
-def _may_stop(run: Run, evictable: Callable[[Unit], bool]) -> bool:
+def _may_preempt(run: Run, evictable: Callable[[Unit], bool]) -> bool:
     return (
         run.state is not RunState.STOPPING
         and run.unit is not None
--- a/libs/planner/src/bilberryhitch_planner/reservations.py
+++ b/libs/planner/src/bilberryhitch_planner/reservations.py
@@ -11,22 +11,22 @@
 
 from bilberryhitch_jobs import Resources, Step
 
-from .placement import bound_groups, slots
+from .placement import locality_groups, slots
 from .runs import Run, RunState
 from .units import Unit
 from .workers import Worker
 
 # Workers that wait for a gang do nothing else at last; the rest of a pool goes on
 # with short work. Trials with the emulator: journal/trials.
-MOST_RESERVED_SHARE = 0.75
+MAX_RESERVED_SHARE = 0.75
 # Expected ends differ by about this much from one look to the next.
-SWITCH_GAIN_S = 1.0
+MIN_SWITCH_GAIN_S = 1.0
 # Gangs considered in one round, which bounds its processor time.
-MOST_GANGS = 14
+MAX_GANGS_PER_ROUND = 14
 # Progress below this says too little of a run's length; its estimate is used.
-LEAST_PERCENT = 5.0
+MIN_PROGRESS_PERCENT = 5.0
 # A stop takes less than this, whatever the run had left.
-STOPPING_S = 0.5
+STOP_DURATION_S = 0.5
 
 
 class Reservation(NamedTuple):
@@ -44,12 +44,12 @@
     """Reservations of one round of planning.
 
     :param now: steady time of the round
-    :param former: those of the round before
+    :param previous: those of the round before
     """
 
-    def __init__(self, now: float, former: "Reservations | None" = None) -> None:
+    def __init__(self, now: float, previous: "Reservations | None" = None) -> None:
         self._now = now
-        self._former = former._by_unit if former else {}
+        self._previous = previous._by_unit if previous else {}
         self._by_unit: dict[int, Reservation] = {}
         self._by_worker: dict[str, Reservation] = {}
         self._gangs = 0
@@ -73,8 +73,8 @@
         :param workers: workers that it may use
         :param pool: all workers of its service
         """
-        most = int(len(pool) * MOST_RESERVED_SHARE) - len(self._by_worker)
-        if self._gangs >= MOST_GANGS or most <= 0:
+        most = int(len(pool) * MAX_RESERVED_SHARE) - len(self._by_worker)
+        if self._gangs >= MAX_GANGS_PER_ROUND or most <= 0:
             return
         self._gangs += 1
         free = {
@@ -82,21 +82,21 @@
             for each in workers
             if each.entry.worker not in self._by_worker
         }
-        groups = bound_groups(unit.step.step, list(free.values()), pool)
-        options = [self._soonest(unit, group, most) for group in groups]
+        groups = locality_groups(unit.step.step, list(free.values()), pool)
+        options = [self._earliest_reservation(unit, group, most) for group in groups]
         best = min(filter(None, options), key=lambda each: each.ready_at, default=None)
-        former = self._former.get(id(unit))
-        if former is not None and all(name in free for name in former.workers):
-            group = [free[name] for name in former.workers]
-            kept = self._soonest(unit, group, most)
+        previous = self._previous.get(id(unit))
+        if previous is not None and all(name in free for name in previous.workers):
+            group = [free[name] for name in previous.workers]
+            kept = self._earliest_reservation(unit, group, most)
             # Workers that have been emptied so far are not given up for a guess.
-            if best and kept and kept.ready_at - best.ready_at < SWITCH_GAIN_S:
+            if best and kept and kept.ready_at - best.ready_at < MIN_SWITCH_GAIN_S:
                 best = kept
         if best is not None:
             self._by_unit[id(unit)] = best
             self._by_worker.update(dict.fromkeys(best.workers, best))
 
-    def _soonest(
+    def _earliest_reservation(
         self, unit: Unit, group: Sequence[Worker], most: int
     ) -> Reservation | None:
         """Return the workers of a group that are free first and hold the whole gang."""
@@ -106,7 +106,7 @@
         ready_at = self._now
         free_at = sorted(
             (
-                (*self._free_at(each, step), -each.free.gpu, each.entry.worker)
+                (*self._available_at(each, step), -each.free.gpu, each.entry.worker)
                 for each in group
             ),
             key=itemgetter(0, 2, 3),
@@ -123,17 +123,17 @@
                 return Reservation(unit, tuple(names), ready_at)
         return None
 
-    def _free_at(self, worker: Worker, step: Step) -> tuple[float, int]:
+    def _available_at(self, worker: Worker, step: Step) -> tuple[float, int]:
         """Return when a worker has room for as many tasks as it ever holds."""
         most = slots(worker.entry.capacity, step)
         free_at, free = self._now, worker.free
-        for end, demand in self._ends(worker):
+        for end, demand in self._expected_releases(worker):
             if slots(free, step) >= most:
                 break
             free_at, free = end, free.plus(demand)
         return free_at, slots(free, step)
 
-    def _ends(self, worker: Worker) -> list[tuple[float, Resources]]:
+    def _expected_releases(self, worker: Worker) -> list[tuple[float, Resources]]:
         """Return when a worker's runs should end and what they release."""
         name = worker.entry.worker
         if name not in self._releases:
@@ -148,8 +148,8 @@
 def expected_end(run: Run, now: float) -> float:
     """Return the steady time at which a run should end."""
     if run.state is RunState.STOPPING:
-        return now + STOPPING_S
-    if run.percent >= LEAST_PERCENT and not (run.unit and run.unit.saved):
+        return now + STOP_DURATION_S
+    if run.percent >= MIN_PROGRESS_PERCENT and not (run.unit and run.unit.saved):
         length = (run.advanced_at - run.ordered_at) * 100.0 / run.percent
     else:
         length = run.unit.step.step.estimate_s if run.unit else 0.0
--- a/libs/planner/src/bilberryhitch_planner/runs.py
+++ b/libs/planner/src/bilberryhitch_planner/runs.py
@@ -27,7 +27,7 @@
     :ivar rate: percent per second at the last look
     :ivar load: processor time in use, or tail latency in ms of a task that serves
     :ivar pace: percent at which it may work, as last ordered
-    :ivar pace_known: that order, or its start, was this planner's
+    :ivar cpu_percent_known: that order, or its start, was this planner's
     :ivar settled_at: steady time of the answer after which a listing without
         the run proves that it is gone; None while it may still appear
     :ivar advanced_at: steady time of the last visible progress
@@ -39,9 +39,9 @@
         "load",
         "number",
         "ordered_at",
-        "pace",
-        "pace_known",
-        "paced_at",
+        "cpu_percent",
+        "cpu_percent_known",
+        "throttled_at",
         "percent",
         "rate",
         "saved",
@@ -71,9 +71,9 @@
         self.percent = 0.0
         self.rate = 0.0
         self.load = 0.0
-        self.pace = 100
-        self.pace_known = True
-        self.paced_at = float("-inf")
+        self.cpu_percent = 100
+        self.cpu_percent_known = True
+        self.throttled_at = float("-inf")
         self.ordered_at = now
         self.advanced_at = now
         self.settled_at: float | None = None
--- a/libs/planner/src/bilberryhitch_planner/rounds.py
+++ b/libs/planner/src/bilberryhitch_planner/scheduling_round.py
@@ -5,32 +5,32 @@
 from bilberryhitch_jobs import JobState
 from bilberryhitch_telemetry import events, log
 
-from .books import Books, task_text
+from .cluster_state import ClusterState, format_task
 from .guarantees import Guarantees
-from .placement import headroom, place_gang, place_task, suits
-from .reclaim import find_eviction
+from .placement import headroom, matches_labels, place_gang, place_task
+from .preemption import plan_preemption
 from .reports import AdviseOrder, StartOrder
 from .reservations import Reservations
 from .runs import Run
-from .units import StepBook, Unit
+from .units import StepOccurrence, Unit
 from .workers import Worker
 
 # The objective of an urgent job leaves about a second beside its own run time, of
 # which a stop takes up to 0.9 s; only what frees within a round is waited for.
-RECLAIM_AFTER_S = 0.05
+PREEMPT_AFTER_S = 0.05
 # A last attempt avoids workers whose last run failed for this long.
 SUSPECT_WAIT_S = 1.5
 # Data on another rack is fetched after this wait while half of the room is idle.
-AWAY_AFTER_S = 1.5
+REMOTE_DATA_AFTER_S = 1.5
 IDLE_SHARE = 0.5
 
 
-class Round:
+class SchedulingRound:
     """Decisions of one moment on a planner's books.
 
     :param guarantees: what each account holds, counted for this round
     :param usable: workers that may get new runs, by service
-    :param former: reservations of the round before
+    :param previous: reservations of the round before
     :param blocked: what an earlier planner may have started must wait
     :param now: steady time
     :ivar questions: what to ask the advice service
@@ -39,17 +39,17 @@
 
     def __init__(
         self,
-        books: Books,
+        state: ClusterState,
         guarantees: Guarantees,
         usable: Mapping[str, list[Worker]],
         *,
-        former: Reservations | None,
+        previous: Reservations | None,
         blocked: bool,
         now: float,
     ) -> None:
-        self.questions: list[AdviseOrder] = []
-        self.reserved = Reservations(now, former)
-        self._books = books
+        self.advice_requests: list[AdviseOrder] = []
+        self.reserved = Reservations(now, previous)
+        self._state = state
         self._guarantees = guarantees
         self._usable = usable
         self._blocked = blocked
@@ -58,35 +58,39 @@
             service: headroom(workers) for service, workers in usable.items()
         }
 
-    def place_step(self, step: StepBook) -> None:
+    def place_step(self, step: StepOccurrence) -> None:
         """Start what has room of a step's waiting units, or make room for it."""
         now = self._now
         all_workers = self._usable.get(step.job.queue.service, [])
-        workers = [worker for worker in all_workers if suits(worker, step.step)]
-        permissions = self._books.permissions_of(step)
+        workers = [
+            worker for worker in all_workers if matches_labels(worker, step.step)
+        ]
+        permissions = self._state.permissions_of(step)
         if permissions is not None:
-            question = permissions.request(step, workers, now)
+            question = permissions.next_request(step, workers, now)
             if question is not None:
-                self.questions.append(question)
+                self.advice_requests.append(question)
             workers = [
-                each for each in workers if permissions.holds(each.entry.worker, now)
+                each
+                for each in workers
+                if permissions.is_granted(each.entry.worker, now)
             ]
-        anywhere = self._data_may_move(step, workers)
+        any_rack = self._remote_data_allowed(step, workers)
         for unit in list(step.waiting.values()):
             if unit.retry_at > now or (
                 self._blocked and step.job.inherited and not unit.adopted
             ):
                 continue
-            members = self._place(unit, workers, anywhere)
+            members = self._place(unit, workers, any_rack)
             if members is not None:
                 self._start(unit, members)
-            elif not self._reclaim(unit, workers):
+            elif not self._preempt(unit, workers):
                 if step.step.gang:
                     self.reserved.reserve(unit, workers, all_workers)
                 break
 
     def _place(
-        self, unit: Unit, workers: list[Worker], anywhere: bool
+        self, unit: Unit, workers: list[Worker], any_rack: bool
     ) -> dict[int, Worker] | None:
         """Choose workers, those whose last run failed only if there is no other."""
         job, now = unit.step.job, self._now
@@ -96,26 +100,26 @@
         allowed = [
             worker
             for worker in workers
-            if self._books.kept.allows(worker, unit)
+            if self._state.preemptions.allows(worker, unit)
             and (guaranteed or self.reserved.allows(worker, unit))
             and (job.queue.priority == 0 or worker.entry.worker not in spared)
         ]
         sound = [worker for worker in allowed if not worker.suspect(now)]
-        members = _choose(unit, sound, workers, anywhere)
+        members = _choose(unit, sound, workers, any_rack)
         last_attempt = unit.attempts_left <= 1 and unit.failed_runs
         if members is None and len(sound) < len(allowed):
             if last_attempt and now - unit.waiting_since < SUSPECT_WAIT_S:
                 return None
-            members = _choose(unit, allowed, workers, anywhere)
+            members = _choose(unit, allowed, workers, any_rack)
         return members
 
-    def _data_may_move(self, step: StepBook, workers: list[Worker]) -> bool:
+    def _remote_data_allowed(self, step: StepOccurrence, workers: list[Worker]) -> bool:
         """Return whether single tasks may run away from their data."""
         rack = step.step.data_rack
         if not rack or all(worker.entry.rack != rack for worker in workers):
             return True
         waiting_since = min(unit.waiting_since for unit in step.waiting.values())
-        if self._now - waiting_since < AWAY_AFTER_S:
+        if self._now - waiting_since < REMOTE_DATA_AFTER_S:
             return False
         total = sum(worker.entry.capacity.cpu for worker in workers)
         return sum(worker.free.cpu for worker in workers) > total * IDLE_SHARE
@@ -124,15 +128,15 @@
         step, job, now = unit.step, unit.step.job, self._now
         unit.last_run += 1
         step.waiting.pop(unit.index, None)
-        self._books.kept.release(unit)
+        self._state.preemptions.release(unit)
         demand = step.step.reserved_resources
-        permissions = self._books.permissions_of(step)
+        permissions = self._state.permissions_of(step)
         for index, worker in members.items():
             name = worker.entry.worker
             run = Run(unit.task(index), unit.last_run, demand, name, unit, now)
             unit.runs[index] = run
             worker.add_run(run)
-            self._books.orders.append(
+            self._state.orders.append(
                 StartOrder(
                     name,
                     run.task,
@@ -144,62 +148,65 @@
             )
         job.state = JobState.RUNNING
         self._guarantees.claim(unit)
-        self._books.dirty.add(job.request.job)
+        self._state.dirty.add(job.request.job)
         log(
             events.UNIT_STARTED,
             request_id=job.request.job,
-            task=task_text(unit.task(unit.task_indexes[0])),
+            task=format_task(unit.task(unit.task_indexes[0])),
             run=unit.last_run,
             workers=[worker.entry.worker for worker in members.values()],
             waited_s=round(now - unit.waiting_since, 3),
             saved=unit.saved,
         )
 
-    def _reclaim(self, unit: Unit, workers: list[Worker]) -> bool:
+    def _preempt(self, unit: Unit, workers: list[Worker]) -> bool:
         """Stop others' work if the unit's account is below its guarantee.
 
         :returns: whether room is being made for the unit
         """
         now = self._now
-        if self._books.kept.awaits_room(unit, now):
+        if self._state.preemptions.pending_for(unit, now):
             return True
-        self._books.kept.release(unit)
+        self._state.preemptions.release(unit)
         waited_s = now - unit.waiting_since
         if (
             unit.step.job.queue.priority != 0
-            or waited_s < RECLAIM_AFTER_S
+            or waited_s < PREEMPT_AFTER_S
             or not self._guarantees.covers(unit)
         ):
             return False
-        candidates = [each for each in workers if self._books.kept.allows(each, unit)]
-        eviction = find_eviction(
-            unit, candidates, self._guarantees.allows_eviction, now
+        candidates = [
+            each for each in workers if self._state.preemptions.allows(each, unit)
+        ]
+        preemption = plan_preemption(
+            unit, candidates, self._guarantees.allows_preemption, now
         )
-        if eviction is None:
+        if preemption is None:
             return False
-        self._books.kept.keep(eviction.workers, unit, now)
-        unit.across_racks = eviction.across_racks
+        self._state.preemptions.hold_workers(preemption.workers, unit, now)
+        unit.across_racks = preemption.across_racks
         self._guarantees.claim(unit)
-        for victim in eviction.units:
+        for victim in preemption.units:
             for run in victim.runs.values():
-                self._books.order_stop(run)
+                self._state.order_stop(run)
         log(
             events.UNITS_EVICTED,
             request_id=unit.step.job.request.job,
-            task=task_text(unit.task(unit.task_indexes[0])),
+            task=format_task(unit.task(unit.task_indexes[0])),
             evicted=[
-                task_text(each.task(each.task_indexes[0])) for each in eviction.units
+                format_task(each.task(each.task_indexes[0]))
+                for each in preemption.units
             ],
-            lost_core_s=round(eviction.cost, 1),
+            lost_core_s=round(preemption.cost, 1),
             waited_s=round(waited_s, 3),
         )
         return True
 
 
 def _choose(
-    unit: Unit, workers: list[Worker], pool: list[Worker], anywhere: bool
+    unit: Unit, workers: list[Worker], pool: list[Worker], any_rack: bool
 ) -> dict[int, Worker] | None:
     if unit.step.step.gang:
         return place_gang(unit, workers, pool, across_racks=unit.across_racks)
-    worker = place_task(unit, workers, anywhere=anywhere)
+    worker = place_task(unit, workers, any_rack=any_rack)
     return {unit.index: worker} if worker else None
--- a/libs/planner/src/bilberryhitch_planner/journal.py
+++ b/libs/planner/src/bilberryhitch_planner/state_writer.py
@@ -37,32 +37,32 @@
 from bilberryhitch_telemetry import events, log
 
 from .errors import Deposed
+from .event_wait import wait_for_event
 from .planner import Planner
 from .tenure import (
     CALL_TIMEOUT_S,
     LEASE_KEY,
     LEASE_TABLE,
-    RENEWAL_S,
-    SILENCE_S,
+    LEASE_TIMEOUT_S,
+    RENEWAL_PERIOD_S,
     WORKER_LEASE_HORIZON_S,
     LeaseRow,
     Tenure,
     decode_lease,
     encode_lease,
 )
-from .waiting import happens
 
 # Entries of one transaction, below the platform's limit of 100.
-MOST_ENTRIES = 80
-PAUSE_S = 0.1
+MAX_ROWS_PER_COMMIT = 80
+RETRY_PAUSE_S = 0.1
 # Shorter waits are not worth a turn of the event loop.
-CLOCK_STEP_S = 0.001
+MIN_WAIT_S = 0.001
 SUMMARY_PERIOD_S = 0.5
 # A takeover reads the progress of all jobs at once.
 READ_TIMEOUT_S = 1.5
 # Old jobs are removed a few at a time, beside what is urgent.
-SWEEP_PERIOD_S = 1.0
-MOST_SWEPT = 20
+REMOVAL_PERIOD_S = 1.0
+MAX_REMOVED_PER_COMMIT = 20
 ROSTER_TABLE = "roster"
 ROSTER_KEY = "workers"
 
@@ -92,7 +92,7 @@
     return found
 
 
-class Journal:
+class StateWriter:
     """The writing half of a planner's tenure.
 
     :param keep_s: how long finished jobs can be asked for
@@ -119,38 +119,38 @@
         self._renewal = 0
         self._renewed_at = float("-inf")
         self._confirmed_at = tenure.acquired_at
-        self._uncertain = False
+        self._outcome_unknown = False
         self._failing = False
-        self._begun = 0
-        self._stored = 0
+        self._started_commits = 0
+        self._stored_commits = 0
         self._in_flight = False
         self._summary = b""
         self._summary_at = float("-inf")
-        self._counting = False
-        self._notes: dict[tuple[str, str], RowWrite] = {}
+        self._counts_enabled = False
+        self._pending_rows: dict[tuple[str, str], RowWrite] = {}
         # Jobs whose requests are removed and whose progress is to follow.
         self._orphans: set[str] = set()
         self._changed = asyncio.Event()
         self._advanced = asyncio.Condition()
 
     @property
-    def lease_limit(self) -> float:
+    def worker_lease_limit(self) -> float:
         """Steady time beyond which no lease on a worker may be extended."""
         return self._confirmed_at + WORKER_LEASE_HORIZON_S
 
     @property
-    def lease_fresh(self) -> bool:
+    def lease_is_fresh(self) -> bool:
         """Whether no other host can have acquired the lease yet."""
-        return time.monotonic() - self._confirmed_at < SILENCE_S / 2
+        return time.monotonic() - self._confirmed_at < LEASE_TIMEOUT_S / 2
 
     @property
     def _pending(self) -> bool:
         planner = self._planner
         return (
-            bool(planner.dirty or self._notes)
-            or planner.unconfirmed
-            or planner.unrostered
-            or self._uncertain
+            bool(planner.dirty or self._pending_rows)
+            or planner.has_unconfirmed_jobs
+            or planner.roster_outdated
+            or self._outcome_unknown
         )
 
     def notify(self) -> None:
@@ -158,13 +158,13 @@
         if self._pending:
             self._changed.set()
 
-    def count_waiting(self) -> None:
+    def enable_waiting_counts(self) -> None:
         """Tell callers from now on how many jobs wait: all of them are known."""
-        self._counting = True
+        self._counts_enabled = True
 
     def put(self, write: RowWrite) -> None:
         """Store a row of the planner's own soon; a later one of its key replaces it."""
-        self._notes[write.table, write.key] = write
+        self._pending_rows[write.table, write.key] = write
         self._changed.set()
 
     async def run(self) -> None:
@@ -175,36 +175,36 @@
         while True:
             now = time.monotonic()
             if not self._pending and not self._renewal_due(now):
-                due = max(self._renewed_at + RENEWAL_S - now, CLOCK_STEP_S)
+                due = max(self._renewed_at + RENEWAL_PERIOD_S - now, MIN_WAIT_S)
                 self._changed.clear()
-                await happens(self._changed, due)
+                await wait_for_event(self._changed, due)
             await self.write()
 
-    async def settle(self, timeout_s: float) -> bool:
+    async def flush(self, timeout_s: float) -> bool:
         """Wait until all changes made so far are stored.
 
         :returns: whether they are
         """
-        unsent = bool(self._planner.dirty or self._notes)
+        unsent = bool(self._planner.dirty or self._pending_rows)
         if not unsent and not self._in_flight:
             return True
-        target = self._begun + (1 if unsent else 0)
+        target = self._started_commits + (1 if unsent else 0)
         self.notify()
         try:
             async with asyncio.timeout(timeout_s), self._advanced:
-                await self._advanced.wait_for(lambda: self._stored >= target)
+                await self._advanced.wait_for(lambda: self._stored_commits >= target)
         except TimeoutError:
             return False
         return True
 
-    async def sweep(self) -> None:
+    async def remove_expired(self) -> None:
         """Remove finished jobs once their time is over, until cancelled.
 
         The request goes first: a job with a request and without progress would be
         taken for a new one.
         """
         while True:
-            await asyncio.sleep(SWEEP_PERIOD_S)
+            await asyncio.sleep(REMOVAL_PERIOD_S)
             for name in self._expired():
                 rows = (
                     RowRemoval(JOBS_TABLE, name),
@@ -223,7 +223,7 @@
                     break
                 self._orphans.add(name)
 
-    def take_orphans(self, progress: Mapping[str, JobProgress]) -> None:
+    def adopt_orphans(self, progress: Mapping[str, JobProgress]) -> None:
         """Take over removals that an earlier planner began.
 
         :param progress: of jobs without a request
@@ -243,7 +243,7 @@
             and 0 < job.finished_s < limit
             and name not in self._planner.dirty
         ]
-        return expired[:MOST_SWEPT]
+        return expired[:MAX_REMOVED_PER_COMMIT]
 
     async def release(self) -> None:
         """Store what is left and give the lease up."""
@@ -255,20 +255,20 @@
         :raises Deposed: if another host has the lease
         """
         now = time.monotonic()
-        names = self._take_dirty()
+        names = self._pop_dirty()
         # Changes that did not fit are stored by a later transaction.
         whole = not self._planner.dirty
-        notes, self._notes = self._notes, {}
+        notes, self._pending_rows = self._pending_rows, {}
         writes = self._progress_writes(names) + list(notes.values())
-        renew = holder is not None or self._uncertain or self._renewal_due(now)
+        renew = holder is not None or self._outcome_unknown or self._renewal_due(now)
         if renew:
             writes.append(self._lease_write(holder))
         summary = self._summary_write(now)
         roster = frozenset(self._planner.workers)
         writes += summary + self._roster_write(roster)
         removals = self._removals() if renew else []
-        self._begun += 1
-        begun = self._begun
+        self._started_commits += 1
+        begun = self._started_commits
         self._in_flight = True
         try:
             revision = await self._store.commit(
@@ -279,14 +279,14 @@
             )
         except CommitConflict as conflict:
             self._planner.dirty |= names
-            self._notes = notes | self._notes
-            self._resolve(conflict)
+            self._pending_rows = notes | self._pending_rows
+            self._resolve_conflict(conflict)
             return
         except (StoreRefused, StoreUnknown) as error:
             self._planner.dirty |= names
-            self._notes = notes | self._notes
+            self._pending_rows = notes | self._pending_rows
             self._note_failure(error)
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
             return
         finally:
             self._in_flight = False
@@ -295,7 +295,7 @@
         if renew:
             self._revision = revision
             self._renewed_at = self._confirmed_at = now
-            self._uncertain = False
+            self._outcome_unknown = False
         if summary:
             self._summary, self._summary_at = summary[0].value, now
         for removal in removals:
@@ -307,18 +307,18 @@
         self._on_stored()
         if whole:
             async with self._advanced:
-                self._stored = begun
+                self._stored_commits = begun
                 self._advanced.notify_all()
 
     def _renewal_due(self, now: float) -> bool:
-        return now - self._renewed_at >= RENEWAL_S
+        return now - self._renewed_at >= RENEWAL_PERIOD_S
 
-    def _take_dirty(self) -> set[str]:
+    def _pop_dirty(self) -> set[str]:
         dirty = self._planner.dirty
-        if len(dirty) <= MOST_ENTRIES:
+        if len(dirty) <= MAX_ROWS_PER_COMMIT:
             self._planner.dirty = set()
             return dirty
-        names = set(sorted(dirty)[:MOST_ENTRIES])
+        names = set(sorted(dirty)[:MAX_ROWS_PER_COMMIT])
         self._planner.dirty = dirty - names
         return names
 
@@ -341,7 +341,7 @@
         return RowWrite(LEASE_TABLE, LEASE_KEY, encode_lease(lease))
 
     def _summary_write(self, now: float) -> list[RowWrite]:
-        if not self._counting or now - self._summary_at < SUMMARY_PERIOD_S:
+        if not self._counts_enabled or now - self._summary_at < SUMMARY_PERIOD_S:
             return []
         value = msgspec.json.encode(self._planner.waiting_counts(), order="sorted")
         if value == self._summary:
@@ -358,10 +358,10 @@
         """Return the progress of jobs that nobody can ask for any more."""
         return [
             RowRemoval(PROGRESS_TABLE, name)
-            for name in sorted(self._orphans)[:MOST_SWEPT]
+            for name in sorted(self._orphans)[:MAX_REMOVED_PER_COMMIT]
         ]
 
-    def _resolve(self, conflict: CommitConflict) -> None:
+    def _resolve_conflict(self, conflict: CommitConflict) -> None:
         row = next(iter(conflict.rows), None)
         lease = decode_lease(row)
         own = lease.holder == self._tenure.holder
@@ -369,11 +369,11 @@
             raise Deposed(lease.holder)
         # A renewal of our own whose answer was lost.
         self._revision = row.revision
-        self._uncertain = True
+        self._outcome_unknown = True
 
     def _note_failure(self, error: StoreRefused | StoreUnknown) -> None:
         if isinstance(error, StoreUnknown):
-            self._uncertain = True
+            self._outcome_unknown = True
         if not self._failing:
             self._failing = True
             log(events.DEPENDENCY_LOST, dependency="store writes", error=error)
--- a/libs/planner/src/bilberryhitch_planner/tenure.py
+++ b/libs/planner/src/bilberryhitch_planner/tenure.py
@@ -12,27 +12,21 @@
 from typing import Any, NamedTuple
 
 import msgspec
-from bilberryhitch_jobs import (
-    ExpectedRevision,
-    RowSnapshot,
-    RowWrite,
-    Store,
-    StoreRow,
-)
+from bilberryhitch_jobs import ExpectedRevision, RowSnapshot, RowWrite, Store, StoreRow
 from bilberryhitch_jobs.errors import STORE_ERRORS, CommitConflict, HistoryLost
 from bilberryhitch_telemetry import events, log
 
-from .liveness import process_ended
+from .liveness import wait_for_process_end
 
 LEASE_TABLE = "planner"
 LEASE_KEY = "lease"
-RENEWAL_S = 0.4
+RENEWAL_PERIOD_S = 0.4
 # Two renewals and one call that took all its time.
-SILENCE_S = 1.7
+LEASE_TIMEOUT_S = 1.7
 CALL_TIMEOUT_S = 0.8
-PAUSE_S = 0.2
+RETRY_PAUSE_S = 0.2
 # Candidates that notice the holder's end at once spread their acquisitions over this.
-RUSH_S = 0.15
+ACQUISITION_JITTER_S = 0.15
 # Leases on workers end at most this long after the last renewal that the store
 # is known to have taken; a successor waits for them where it cannot ask.
 WORKER_LEASE_HORIZON_S = 12.0
@@ -82,7 +76,7 @@
         store: Store,
         holder: str,
         address: str = "",
-        ended: Callable[[str], Coroutine[Any, Any, None]] = process_ended,
+        ended: Callable[[str], Coroutine[Any, Any, None]] = wait_for_process_end,
     ) -> None:
         self._store = store
         self._holder = holder
@@ -117,11 +111,11 @@
             except STORE_ERRORS:
                 # Silence counts only while the store answers.
                 known = False
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _read(self) -> None:
         snapshot = await self._store.read(LEASE_TABLE, timeout_s=CALL_TIMEOUT_S)
-        self._note(snapshot.rows[0] if snapshot.rows else None)
+        self._observe_row(snapshot.rows[0] if snapshot.rows else None)
         self._revision = snapshot.revision
 
     async def _try_once(self) -> Tenure | None:
@@ -137,7 +131,7 @@
     async def _wait_for_change(self, lease: LeaseRow) -> bool:
         """Return whether the lease changed before its holder seemed to be gone."""
         watch = asyncio.create_task(
-            self._store.watch(LEASE_TABLE, self._revision, SILENCE_S)
+            self._store.watch(LEASE_TABLE, self._revision, LEASE_TIMEOUT_S)
         )
         try:
             await self._until_changed_or_ended(lease, watch)
@@ -149,13 +143,13 @@
         self._revision = max(self._revision, changes.revision)
         rows = [row for row in changes.rows if row.key == LEASE_KEY]
         if rows:
-            self._note(rows[-1])
+            self._observe_row(rows[-1])
         return bool(rows)
 
     async def _until_changed_or_ended(
         self, lease: LeaseRow, watch: "asyncio.Task[RowSnapshot]"
     ) -> None:
-        probe = self._probe_of(lease.address)
+        probe = self._probe_for(lease.address)
         await asyncio.wait(
             (watch, probe) if probe else (watch,), return_when=asyncio.FIRST_COMPLETED
         )
@@ -163,9 +157,11 @@
             self._drop_probe()
             log(events.PLANNER_PROCESS_ENDED, holder=lease.holder)
             # Other candidates notice in the same moment; one acquisition is enough.
-            await asyncio.wait((watch,), timeout=random.uniform(0.0, RUSH_S))
+            await asyncio.wait(
+                (watch,), timeout=random.uniform(0.0, ACQUISITION_JITTER_S)
+            )
 
-    def _probe_of(self, address: str) -> asyncio.Task[None] | None:
+    def _probe_for(self, address: str) -> asyncio.Task[None] | None:
         """Return the task that ends with the process at an address."""
         if address != self._probed:
             self._drop_probe()
@@ -192,7 +188,7 @@
                 timeout_s=CALL_TIMEOUT_S,
             )
         except CommitConflict as conflict:
-            self._note(conflict.rows[0] if conflict.rows else None)
+            self._observe_row(conflict.rows[0] if conflict.rows else None)
             return None
         log(
             events.PLANNER_LEASE_WON,
@@ -207,7 +203,7 @@
             self._holder, token, self._tried_at, self._changed_at, self._address
         )
 
-    def _note(self, row: StoreRow | None) -> None:
+    def _observe_row(self, row: StoreRow | None) -> None:
         if row is not None and row.removed:
             row = None
         if (row and row.revision) != (self._row and self._row.revision):
--- a/libs/planner/src/bilberryhitch_planner/sharing.py
+++ b/libs/planner/src/bilberryhitch_planner/throttling.py
@@ -11,57 +11,68 @@
 # keeps the load from swinging.
 SLOW_DOWN_FACTOR = 0.5
 SPEED_UP_PERCENT = 10
-LEAST_PERCENT = 5
+MIN_PERCENT = 5
 FULL_PERCENT = 100
 # A change takes effect after about 0.1 s and shows in a figure over half a second.
-SETTLE_S = 0.7
+THROTTLE_DELAY_S = 0.7
 # An order may have been lost, or given by an earlier planner.
-REPEAT_S = 3.0
+REPEAT_INTERVAL_S = 3.0
 
 
 def shares_processor(worker: Worker) -> bool:
     """Return whether a worker has both tasks that serve and tasks that fill."""
-    kinds = {_kind(run) for run in worker.runs.values()}
+    kinds = {_workload_kind(run) for run in worker.runs.values()}
     return {"serves", "fills"} <= kinds
 
 
-def pace_orders(worker: Worker, now: float) -> list[PaceOrder]:
+def throttle_orders(worker: Worker, now: float) -> list[PaceOrder]:
     """Return orders that bring a worker's filling tasks to the pace they may have."""
     runs = [run for run in worker.runs.values() if run.state is RunState.RUNNING]
-    filling = [run for run in runs if _kind(run) == "fills"]
-    serving = [run for run in runs if _kind(run) == "serves"]
+    filling = [run for run in runs if _workload_kind(run) == "fills"]
+    serving = [run for run in runs if _workload_kind(run) == "serves"]
     if not filling:
         return []
-    strain = max((_strain(run) for run in serving), default=0.0)
+    latency_ratio = max((_latency_ratio(run) for run in serving), default=0.0)
     orders = []
     for run in filling:
-        if now - run.paced_at < SETTLE_S:
+        if now - run.throttled_at < THROTTLE_DELAY_S:
             continue
-        pace = _next_pace(run.pace, strain) if serving else FULL_PERCENT
-        if pace == run.pace and now - run.paced_at < REPEAT_S:
+        cpu_percent = (
+            _next_cpu_percent(run.cpu_percent, latency_ratio)
+            if serving
+            else FULL_PERCENT
+        )
+        if (
+            cpu_percent == run.cpu_percent
+            and now - run.throttled_at < REPEAT_INTERVAL_S
+        ):
             continue
-        if pace == run.pace == FULL_PERCENT and run.pace_known:
+        if cpu_percent == run.cpu_percent == FULL_PERCENT and run.cpu_percent_known:
             continue
-        run.pace, run.paced_at, run.pace_known = pace, now, True
-        orders.append(PaceOrder(run.worker, run.task, run.number, pace))
+        run.cpu_percent, run.throttled_at, run.cpu_percent_known = (
+            cpu_percent,
+            now,
+            True,
+        )
+        orders.append(PaceOrder(run.worker, run.task, run.number, cpu_percent))
     return orders
 
 
-def _next_pace(pace: int, strain: float) -> int:
-    if strain > SLOW_DOWN_SHARE:
-        slower = int(pace * SLOW_DOWN_FACTOR)
-        return slower if slower >= LEAST_PERCENT else 0
-    if strain < SPEED_UP_SHARE:
-        return min(FULL_PERCENT, pace + SPEED_UP_PERCENT)
-    return pace
+def _next_cpu_percent(cpu_percent: int, latency_ratio: float) -> int:
+    if latency_ratio > SLOW_DOWN_SHARE:
+        slower = int(cpu_percent * SLOW_DOWN_FACTOR)
+        return slower if slower >= MIN_PERCENT else 0
+    if latency_ratio < SPEED_UP_SHARE:
+        return min(FULL_PERCENT, cpu_percent + SPEED_UP_PERCENT)
+    return cpu_percent
 
 
-def _strain(run: Run) -> float:
+def _latency_ratio(run: Run) -> float:
     """Return a serving task's tail latency as a share of its bound."""
     return run.load / 1000 / run.unit.step.step.latency_target_s if run.unit else 0.0
 
 
-def _kind(run: Run) -> str:
+def _workload_kind(run: Run) -> str:
     if run.unit is None:
         return ""
     step = run.unit.step.step
--- a/libs/planner/src/bilberryhitch_planner/units.py
+++ b/libs/planner/src/bilberryhitch_planner/units.py
@@ -47,7 +47,9 @@
         "waiting_since",
     )
 
-    def __init__(self, step: "StepBook", index: int, progress: UnitProgress) -> None:
+    def __init__(
+        self, step: "StepOccurrence", index: int, progress: UnitProgress
+    ) -> None:
         self.step = step
         self.index = index
         self.done = progress.done
@@ -86,14 +88,14 @@
         )
 
 
-class StepBook:
+class StepOccurrence:
     """One occurrence of a step.
 
     :ivar waiting: units that are neither done nor may be running, by index
     :ivar undone: number of units that are not done
     """
 
-    def __init__(self, job: "JobBook", occurrence: int, index: int) -> None:
+    def __init__(self, job: "TrackedJob", occurrence: int, index: int) -> None:
         self.job = job
         self.occurrence = occurrence
         self.index = index
@@ -126,7 +128,7 @@
         self.waiting.pop(unit.index, None)
 
 
-class JobBook:
+class TrackedJob:
     """An accepted job.
 
     :ivar queue: its route as last configured
@@ -152,12 +154,14 @@
         self.revision = revision
         self.inherited = inherited
         self.arrived_at = arrived_at
-        self._chains = _chains(request.steps)
-        self.steps: dict[tuple[int, int], StepBook] = {}
+        self._chains = _remaining_chains(request.steps)
+        self.steps: dict[tuple[int, int], StepOccurrence] = {}
         if not self.finished:
             for occurrence in range(request.occurrences):
                 for index in range(len(request.steps)):
-                    self.steps[occurrence, index] = StepBook(self, occurrence, index)
+                    self.steps[occurrence, index] = StepOccurrence(
+                        self, occurrence, index
+                    )
 
     @property
     def objective_s(self) -> float:
@@ -165,7 +169,7 @@
         longest = max(self._chains, default=0.0)
         return self.queue.stretch * longest + self.queue.target_s
 
-    def chain_s(self, index: int) -> float:
+    def remaining_s(self, index: int) -> float:
         """Return the estimated time from a step's start to the job's end."""
         return self._chains[index]
 
@@ -213,7 +217,7 @@
         return JobProgress(self.state, self.request.account, touched, self.finished_s)
 
 
-def _chains(steps: tuple[Step, ...]) -> tuple[float, ...]:
+def _remaining_chains(steps: tuple[Step, ...]) -> tuple[float, ...]:
     """Return, for each step, the longest estimated chain that begins with it."""
     chains = [step.estimate_s for step in steps]
     for index in reversed(range(len(steps))):
--- a/libs/planner/src/bilberryhitch_planner/upkeep.py
+++ b/libs/planner/src/bilberryhitch_planner/upkeep.py
@@ -12,25 +12,25 @@
 from bilberryhitch_telemetry import events, log
 
 from .errors import MachinesUnknown, WorkerFenced
-from .journal import Journal
 from .planner import Planner
-from .reclaim import lost_work
+from .preemption import lost_core_seconds
+from .state_writer import StateWriter
 from .tenure import CALL_TIMEOUT_S
 from .workers import Worker
 
 RECORD_TABLE = "upkeep"
 # Upkeep takes seconds; each round reads the list of machines once.
-PERIOD_S = 0.5
+POLL_PERIOD_S = 0.5
 # A machine's upkeep is visible in the list this long after its order at the latest.
-VISIBLE_S = 1.0
+LISTING_LAG_S = 1.0
 # Work on a machine that is to go down may end by itself for at most this long.
-MOST_LEAVE_S = 8.0
+MAX_DRAIN_S = 8.0
 # What a machine is away for besides the time that its work is waited for.
-AWAY_S = 4.0
+DOWNTIME_S = 4.0
 # A slow store stores an order's record within this; else the next round tries again.
-SETTLE_S = 2.0
+FLUSH_TIMEOUT_S = 2.0
 # A lasting task is at work at this percentage.
-ALL_AT_WORK = 100.0
+FULLY_WORKING_PERCENT = 100.0
 
 
 class Wave(NamedTuple):
@@ -86,7 +86,7 @@
         """Take a machine down; what runs on it ends at once."""
 
 
-class WaveBook:
+class WaveState:
     """What is known of one wave.
 
     :param ordered: machines that an earlier planner may have ordered down
@@ -98,45 +98,45 @@
     def __init__(self, wave: Wave, ordered: Iterable[str]) -> None:
         self.wave = wave
         self.ordered = dict.fromkeys(ordered, "")
-        self.leaving: dict[str, float] = {}
+        self.draining: dict[str, float] = {}
         self._begun: dict[str, float] = {}
-        self._left_out: set[str] = set()
+        self._excluded: set[str] = set()
 
     @property
-    def record(self) -> RowWrite:
+    def record_write(self) -> RowWrite:
         """The row that tells a successor which machines were ordered down."""
         ordered = msgspec.json.encode(sorted(self.ordered))
         return RowWrite(RECORD_TABLE, str(self.wave.number), ordered)
 
     @property
-    def leave_s(self) -> float:
+    def drain_s(self) -> float:
         """How long the work of a machine may go on before it is taken down."""
         rounds = -(-len(self.wave.machines) // max(1, self.wave.most_down))
-        return min(MOST_LEAVE_S, max(0.0, self.wave.duration_s / rounds - AWAY_S))
+        return min(MAX_DRAIN_S, max(0.0, self.wave.duration_s / rounds - DOWNTIME_S))
 
-    def note(self, machine: str, outcome: UpkeepOutcome, now: float) -> None:
+    def apply_outcome(self, machine: str, outcome: UpkeepOutcome, now: float) -> None:
         """Take the answer to an order."""
         if outcome is UpkeepOutcome.BEGUN:
             self._begun.setdefault(machine, now)
         elif outcome is UpkeepOutcome.NOT_OF_WAVE:
-            self._left_out.add(machine)
+            self._excluded.add(machine)
         elif outcome is UpkeepOutcome.BUSY:
             # It is certain that this order did nothing.
             self.ordered.pop(machine, None)
         if outcome is not UpkeepOutcome.UNKNOWN:
-            self.leaving.pop(machine, None)
+            self.draining.pop(machine, None)
 
     def complete(self, machines: Mapping[str, Machine]) -> bool:
         """Return whether every machine that still exists has begun its upkeep."""
         present = self.wave.machines & machines.keys()
-        return present <= self._begun.keys() | self._left_out
+        return present <= self._begun.keys() | self._excluded
 
     def unanswered(self, machines: Mapping[str, Machine]) -> list[str]:
         """Return ordered machines whose order must be repeated until it is certain."""
-        open_orders = self.ordered.keys() - self._begun.keys() - self._left_out
+        open_orders = self.ordered.keys() - self._begun.keys() - self._excluded
         return sorted(open_orders & machines.keys())
 
-    def choose(
+    def select(
         self,
         machines: Mapping[str, Machine],
         cost: Callable[[Machine], float | None],
@@ -147,24 +147,24 @@
         :param cost: what is lost on a machine, or None if it may not go down now
         """
         free = self.wave.most_down - len(self._down(machines, now))
-        for name in [name for name in self.leaving if name not in machines]:
-            del self.leaving[name]
+        for name in [name for name in self.draining if name not in machines]:
+            del self.draining[name]
         waiting = self.wave.machines & machines.keys()
-        waiting -= self.ordered.keys() | self._begun.keys() | self._left_out
+        waiting -= self.ordered.keys() | self._begun.keys() | self._excluded
         priced = [
             (price, name)
             for name in waiting
             if machines[name].up and (price := cost(machines[name])) is not None
         ]
         # Machines that leave already come first, so that their idle time is not lost.
-        priced.sort(key=lambda each: (each[1] not in self.leaving, each))
+        priced.sort(key=lambda each: (each[1] not in self.draining, each))
         chosen = priced[: max(0, free)]
         for _, name in chosen:
-            self.leaving.setdefault(name, now)
+            self.draining.setdefault(name, now)
         return [
             name
             for price, name in chosen
-            if not price or now - self.leaving[name] >= self.leave_s
+            if not price or now - self.draining[name] >= self.drain_s
         ]
 
     def _down(self, machines: Mapping[str, Machine], now: float) -> set[str]:
@@ -172,17 +172,19 @@
         back = {
             name
             for name, begun_at in self._begun.items()
-            if now - begun_at >= VISIBLE_S and name in machines and machines[name].up
+            if now - begun_at >= LISTING_LAG_S
+            and name in machines
+            and machines[name].up
         }
         down = {
             name
             for name in self.wave.machines & machines.keys()
             if not machines[name].up
         }
-        return ((self.ordered.keys() - self._left_out) & machines.keys()) - back | down
+        return ((self.ordered.keys() - self._excluded) & machines.keys()) - back | down
 
 
-class Upkeep:
+class UpkeepController:
     """Carries out the operator's waves while this host plans.
 
     :param waves: returns the waves that are asked for
@@ -193,7 +195,7 @@
         self,
         store: Store,
         planner: Planner,
-        journal: Journal,
+        journal: StateWriter,
         calls: UpkeepCalls,
         *,
         token: int,
@@ -209,7 +211,7 @@
         self._waves = waves
         self._encode_status = encode_status
         self._on_change = on_change
-        self._books: dict[int, WaveBook] = {}
+        self._wave_states: dict[int, WaveState] = {}
         self._done: set[int] = set()
 
     async def run(self) -> None:
@@ -219,7 +221,7 @@
         """
         records: dict[int, list[str]] | None = None
         while True:
-            await asyncio.sleep(PERIOD_S)
+            await asyncio.sleep(POLL_PERIOD_S)
             waves = [wave for wave in self._waves() if wave.number not in self._done]
             if not waves:
                 continue
@@ -243,32 +245,32 @@
         records: Mapping[int, list[str]],
         machines: Mapping[str, Machine],
     ) -> None:
-        book = self._books.get(wave.number)
+        book = self._wave_states.get(wave.number)
         if book is None:
-            book = WaveBook(wave, records.get(wave.number, ()))
-            self._books[wave.number] = book
+            book = WaveState(wave, records.get(wave.number, ()))
+            self._wave_states[wave.number] = book
             self._journal.put(self._encode_status(wave.number, False))
             log(events.WAVE_BEGUN, wave=wave.number, machines=len(wave.machines))
         book.wave = wave
         for name in book.unanswered(machines):
             if self._cost(machines[name]) is not None:
                 await self._order(book, machines[name])
-        due = book.choose(machines, self._cost, time.monotonic())
-        self._withhold(machines)
+        due = book.select(machines, self._cost, time.monotonic())
+        self._update_cordon(machines)
         for name in due:
             book.ordered[name] = machines[name].worker
             # A successor must know of an order that is carried out late.
-            self._journal.put(book.record)
-            if not await self._journal.settle(SETTLE_S):
+            self._journal.put(book.record_write)
+            if not await self._journal.flush(FLUSH_TIMEOUT_S):
                 continue
             await self._order(book, machines[name])
-        if book.complete(machines) and await self._journal.settle(SETTLE_S):
+        if book.complete(machines) and await self._journal.flush(FLUSH_TIMEOUT_S):
             self._journal.put(self._encode_status(wave.number, True))
             self._done.add(wave.number)
             log(events.WAVE_DONE, wave=wave.number)
 
-    async def _order(self, book: WaveBook, machine: Machine) -> None:
-        if not self._journal.lease_fresh:
+    async def _order(self, book: WaveState, machine: Machine) -> None:
+        if not self._journal.lease_is_fresh:
             return
         outcome = await self._calls.begin_upkeep(
             machine.name, book.wave.number, token=self._token
@@ -284,9 +286,9 @@
         if outcome is UpkeepOutcome.FENCED:
             raise WorkerFenced(machine.name)
         ended = book.ordered.get(machine.name)
-        book.note(machine.name, outcome, now)
+        book.apply_outcome(machine.name, outcome, now)
         if outcome is UpkeepOutcome.BUSY:
-            self._journal.put(book.record)
+            self._journal.put(book.record_write)
         if outcome is UpkeepOutcome.BEGUN and ended:
             self._planner.worker_gone(ended, now=now, unix_s=time.time())
             self._on_change()
@@ -302,12 +304,12 @@
             log(events.ROW_UNREADABLE, key=RECORD_TABLE, error=error)
             return {}
 
-    def _withhold(self, machines: Mapping[str, Machine]) -> None:
+    def _update_cordon(self, machines: Mapping[str, Machine]) -> None:
         """Keep new work off the machines that are about to go down."""
-        self._planner.withheld = frozenset(
+        self._planner.cordoned = frozenset(
             machines[name].worker
-            for book in self._books.values()
-            for name in book.leaving
+            for book in self._wave_states.values()
+            for name in book.draining
             if name in machines
         )
 
@@ -315,10 +317,10 @@
         worker = self._planner.workers.get(machine.worker)
         if worker is None:
             return 0.0
-        return departure_cost(worker, time.monotonic())
+        return takedown_cost(worker, time.monotonic())
 
 
-def departure_cost(worker: Worker, now: float) -> float | None:
+def takedown_cost(worker: Worker, now: float) -> float | None:
     """Return core-seconds lost if a worker ends now; None if it may not.
 
     Lasting steps bound how many of their tasks may be away by the product's doing.
@@ -331,10 +333,10 @@
         step = run.unit.step
         if step.step.long_running and step.step.max_unavailable:
             steps[id(step)] = step
-        cost += lost_work(run.unit, now)
+        cost += lost_core_seconds(run.unit, now)
     for step in steps.values():
         at_work = sum(
-            run.percent >= ALL_AT_WORK and run.worker != worker.entry.worker
+            run.percent >= FULLY_WORKING_PERCENT and run.worker != worker.entry.worker
             for unit in step.units.values()
             for run in unit.runs.values()
         )
--- a/libs/planner/src/bilberryhitch_planner/session.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_session.py
@@ -6,9 +6,8 @@
 
 from bilberryhitch_telemetry import events, log
 
-from .books import task_text
+from .cluster_state import format_task
 from .errors import WorkerFenced, WorkerGone, WorkerUnreachable
-from .journal import Journal
 from .planner import Planner
 from .reports import (
     HoldReport,
@@ -20,8 +19,9 @@
     StopOutcome,
 )
 from .runs import RunState
-from .sharing import shares_processor
+from .state_writer import StateWriter
 from .tenure import Tenure
+from .throttling import shares_processor
 from .worker_calls import WorkerCalls
 
 # The lease of what runs on a worker: the longest that the platform grants, so
@@ -30,17 +30,17 @@
 # How long a listing waits for an end; also how often the lease is extended,
 # checkpoints are read and progress is seen. A run that stands still is noticed after
 # three of them, and an urgent one has little more than a second of slack.
-LOOK_S = 0.6
+HEARTBEAT_WAIT_S = 0.6
 # Tasks that serve must not be over their bound for seconds because of others.
-SHARED_LOOK_S = 0.4
-PAUSE_S = 0.2
+SHARED_HEARTBEAT_WAIT_S = 0.4
+RETRY_PAUSE_S = 0.2
 # Ends that are not stored yet are not acknowledged; the listing goes on.
-SETTLE_S = 0.4
+FLUSH_TIMEOUT_S = 0.4
 # Copies of a start without an answer; the last failure is followed by a stop.
-START_TRIES = 3
+MAX_START_ATTEMPTS = 3
 
 
-class Session:
+class WorkerSession:
     """Lists, extends and acknowledges what runs on a worker; sends its orders.
 
     :param on_change: called after the planner's state has changed
@@ -50,7 +50,7 @@
         self,
         name: str,
         planner: Planner,
-        journal: Journal,
+        journal: StateWriter,
         tenure: Tenure,
         calls: WorkerCalls,
         on_change: Callable[[], None],
@@ -62,13 +62,13 @@
         self._calls = calls
         self._on_change = on_change
         self._acknowledged = 0
-        self._lost = False
-        self._looked = False
+        self._unreachable = False
+        self._synced = False
 
     @property
-    def lost(self) -> bool:
+    def unreachable(self) -> bool:
         """Whether the last look at the worker failed."""
-        return self._lost
+        return self._unreachable
 
     async def run(self) -> None:
         """Look at the worker until its incarnation is gone.
@@ -79,7 +79,7 @@
         while self._name in self._planner.workers:
             sent_at = time.monotonic()
             try:
-                report = await self._look(sent_at, wait_s)
+                report = await self._send_heartbeat(sent_at, wait_s)
             except WorkerGone:
                 self._planner.worker_gone(
                     self._name, now=time.monotonic(), unix_s=time.time()
@@ -87,13 +87,13 @@
                 self._on_change()
                 return
             except WorkerUnreachable as error:
-                self._note_loss(error)
+                self._note_unreachable(error)
                 # A worker that has started again counts its ends anew.
                 self._acknowledged = 0
                 wait_s = 0.0
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
                 continue
-            self._note_answer()
+            self._note_reachable()
             self._planner.report(
                 self._name,
                 report,
@@ -104,10 +104,10 @@
             self._on_change()
             worker = self._planner.workers.get(self._name)
             shared = worker is not None and shares_processor(worker)
-            wait_s = SHARED_LOOK_S if shared else LOOK_S
+            wait_s = SHARED_HEARTBEAT_WAIT_S if shared else HEARTBEAT_WAIT_S
             if report.ended and not await self._acknowledge(report):
                 wait_s = 0.0
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
 
     async def send(self, order: Order) -> None:
         """Send an order until it is answered or no longer wanted.
@@ -117,18 +117,18 @@
         if isinstance(order, StartOrder):
             await self._send_start(order)
         elif isinstance(order, PaceOrder):
-            await self._send_pace(order)
+            await self._send_throttle(order)
         else:
             await self._send_stop(order)
         self._on_change()
 
-    async def _look(self, sent_at: float, wait_s: float) -> HoldReport:
+    async def _send_heartbeat(self, sent_at: float, wait_s: float) -> HoldReport:
         worker = self._planner.workers[self._name]
-        limit = min(sent_at + LEASE_S, self._journal.lease_limit)
+        limit = min(sent_at + LEASE_S, self._journal.worker_lease_limit)
         lease = None
         # An unanswered extension may still count: a worker that stays silent
         # gets no further one, so that its lease can be known to have lapsed.
-        if self._looked and not self._lost and limit > sent_at:
+        if self._synced and not self._unreachable and limit > sent_at:
             lease = worker.lease_deadline(limit, sent_at)
         report = await self._calls.hold(
             worker.entry,
@@ -137,12 +137,12 @@
             lease_until_s=lease,
             wait_s=wait_s,
         )
-        self._looked = True
+        self._synced = True
         return report
 
     async def _acknowledge(self, report: HoldReport) -> bool:
         """Return whether the ends may be acknowledged by the next look."""
-        if not await self._journal.settle(SETTLE_S):
+        if not await self._journal.flush(FLUSH_TIMEOUT_S):
             return False
         self._acknowledged = max(ended.sequence for ended in report.ended)
         return True
@@ -150,13 +150,13 @@
     async def _send_start(self, order: StartOrder) -> None:
         certain = True
         outcome = StartOutcome.UNKNOWN
-        for _ in range(START_TRIES):
+        for _ in range(MAX_START_ATTEMPTS):
             worker = self._planner.workers.get(self._name)
             run = worker.runs.get((order.task, order.run)) if worker else None
             if worker is None or run is None or run.state is not RunState.ORDERED:
                 return
             now = time.monotonic()
-            limit = min(now + LEASE_S, self._journal.lease_limit)
+            limit = min(now + LEASE_S, self._journal.worker_lease_limit)
             outcome = await self._calls.start_run(
                 worker.entry,
                 order,
@@ -191,9 +191,9 @@
             if outcome is StopOutcome.STOPPED:
                 self._planner.stop_answered(order, outcome, now=now)
                 return
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
 
-    async def _send_pace(self, order: PaceOrder) -> None:
+    async def _send_throttle(self, order: PaceOrder) -> None:
         """Send once; the pace is ordered again while it matters."""
         worker = self._planner.workers.get(self._name)
         if worker is None or (order.task, order.run) not in worker.runs:
@@ -202,18 +202,18 @@
         log(
             events.RUN_PACED,
             request_id=order.task.job,
-            task=task_text(order.task),
+            task=format_task(order.task),
             worker=self._name,
             percent=order.percent,
             taken=taken,
         )
 
-    def _note_loss(self, error: WorkerUnreachable) -> None:
-        if not self._lost:
-            self._lost = True
+    def _note_unreachable(self, error: WorkerUnreachable) -> None:
+        if not self._unreachable:
+            self._unreachable = True
             log(events.DEPENDENCY_LOST, dependency=f"worker {self._name}", error=error)
 
-    def _note_answer(self) -> None:
-        if self._lost:
-            self._lost = False
+    def _note_reachable(self) -> None:
+        if self._unreachable:
+            self._unreachable = False
             log(events.DEPENDENCY_REGAINED, dependency=f"worker {self._name}")
--- a/libs/planner/src/bilberryhitch_planner/workers.py
+++ b/libs/planner/src/bilberryhitch_planner/workers.py
@@ -10,7 +10,7 @@
 # Covers timer granularity on both sides.
 LEASE_SLACK_S = 0.3
 # A look takes up to 0.6 s; a worker that misses two gets nothing new.
-SILENCE_S = 1.3
+MAX_SILENCE_S = 1.3
 # Failures in a row, of different runs, after which a worker gets nothing.
 QUARANTINE_FAILURES = 2
 # Disturbances that make a worker fail its runs last several seconds.
@@ -27,22 +27,22 @@
 
     :ivar synced: it has listed its runs to this planner
     :ivar listed: it is registered
-    :ivar known_at: steady time at which this planner heard of it
+    :ivar discovered_at: steady time at which this planner heard of it
     :ivar speed: relative to the other workers, as far as it is known
     :ivar lease_until: steady time after which nothing can run there
     """
 
     def __init__(self, entry: WorkerEntry, now: float) -> None:
         self.entry = entry
-        self.listed = True
+        self.registered = True
         self.synced = False
         self.runs: dict[tuple[TaskName, int], Run] = {}
         self.free = entry.capacity
         self.lease_until = now
         self.answered_at = now
-        self.known_at = now
+        self.discovered_at = now
         self.paused_until = 0.0
-        self.last_end = 0
+        self.last_end_sequence = 0
         self.speed = 1.0
         self.born_ms = 0
         self.failures = 0
@@ -52,10 +52,10 @@
     def usable(self, now: float) -> bool:
         """Return whether it may get new runs."""
         return (
-            self.listed
+            self.registered
             and self.synced
             and not self.entry.draining
-            and now - self.answered_at < SILENCE_S
+            and now - self.answered_at < MAX_SILENCE_S
             and now >= self.paused_until
         )
 
--- a/libs/planner/tests/test_waiting.py
+++ b/libs/planner/tests/test_event_wait.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from bilberryhitch_planner.waiting import happens
+from bilberryhitch_planner.event_wait import wait_for_event
 
 
 @pytest.mark.parametrize("turns", range(4))
@@ -13,7 +13,7 @@
 def test_a_cancellation_is_not_lost_when_the_event_happens(turns, cancel_first):
     async def scene():
         event = asyncio.Event()
-        task = asyncio.create_task(happens(event, 10.0))
+        task = asyncio.create_task(wait_for_event(event, 10.0))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         accepted = task.cancel() if cancel_first else False
@@ -29,4 +29,4 @@
 
 
 def test_an_event_that_does_not_happen():
-    assert asyncio.run(happens(asyncio.Event(), 0.01)) is False
+    assert asyncio.run(wait_for_event(asyncio.Event(), 0.01)) is False
--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -82,12 +82,12 @@
     fresh = JobProgress(JobState.PENDING, "a", {})
     job = request("j", step())
     world.planner.add_job(job, fresh, 60, now=0.0, unix_s=UNIX)
-    assert world.planner.unconfirmed
+    assert world.planner.has_unconfirmed_jobs
     assert world.starts() == []
     world.planner.confirm(59)
     assert world.starts() == []
     world.planner.confirm(61)
-    assert not world.planner.unconfirmed
+    assert not world.planner.has_unconfirmed_jobs
     assert len(world.starts()) == 1
 
 
@@ -503,7 +503,7 @@
     world = World(entry("w1"))
     world.report("w1")
     world.add(request("j", step()))
-    assert world.planner.unrostered
+    assert world.planner.roster_outdated
     assert world.planner.plan(now=0.0, unix_s=UNIX) == []
 
 
@@ -579,17 +579,17 @@
     advised = queue("advised", 1)._replace(advice=AdvicePolicy(0.05, 0.01, 3.0))
     world.add(request("j", step(2, gpu=8), route=advised))
     assert world.starts() == []
-    (question,) = world.planner.questions
+    (question,) = world.planner.advice_requests
     assert sorted(question.workers) == ["w1", "w2"]
     assert world.starts() == []
-    assert len(world.planner.questions) == 1
-    world.planner.take_advice(question, Advice({"w2": "t-2"}, 3.0), now=0.1)
+    assert len(world.planner.advice_requests) == 1
+    world.planner.apply_advice(question, Advice({"w2": "t-2"}, 3.0), now=0.1)
     (order,) = world.starts()
     assert (order.worker, order.ticket) == ("w2", "t-2")
     world.answer(order, StartOutcome.NO_TICKET)
     world.now = 0.5
     assert world.starts() == []
-    assert world.planner.questions[-1].workers == ("w2",)
+    assert world.planner.advice_requests[-1].workers == ("w2",)
 
 
 def test_a_rack_bound_gang_waits_for_its_rack_while_idle_workers_are_spared():
--- a/libs/planner/tests/test_reservations.py
+++ b/libs/planner/tests/test_reservations.py
@@ -1,7 +1,7 @@
 """Loads in which wide gangs wait for whole workers that never become idle together."""
 
 from bilberryhitch_planner import EndKind
-from bilberryhitch_planner.reservations import MOST_RESERVED_SHARE
+from bilberryhitch_planner.reservations import MAX_RESERVED_SHARE
 from bilberryhitch_testing.planner_world import (
     World,
     ended,
@@ -30,7 +30,7 @@
     world.report(
         order.worker,
         [running(each, percent) for each in others if each.worker == order.worker],
-        [ended(order, EndKind.DONE, worker.last_end + 1)],
+        [ended(order, EndKind.DONE, worker.last_end_sequence + 1)],
     )
 
 
@@ -89,7 +89,7 @@
         for worker in world.planner.workers.values()
         for run in worker.runs.values()
     )
-    reserved = int(10 * MOST_RESERVED_SHARE)
+    reserved = int(10 * MAX_RESERVED_SHARE)
     assert batch <= 2
     for order in at_work[2:]:
         end(world, order, [])
--- a/libs/planner/tests/test_tenure.py
+++ b/libs/planner/tests/test_tenure.py
@@ -8,9 +8,18 @@
 from bilberryhitch_jobs.errors import CommitConflict, StoreUnknown
 from bilberryhitch_jobs.rows import StoreRow
 from bilberryhitch_planner import Campaign, Deposed, Planner
-from bilberryhitch_planner.journal import MOST_ENTRIES, SWEEP_PERIOD_S, Journal
-from bilberryhitch_planner.liveness import process_ended
-from bilberryhitch_planner.tenure import LEASE_KEY, LEASE_TABLE, SILENCE_S, decode_lease
+from bilberryhitch_planner.liveness import wait_for_process_end
+from bilberryhitch_planner.state_writer import (
+    MAX_ROWS_PER_COMMIT,
+    REMOVAL_PERIOD_S,
+    StateWriter,
+)
+from bilberryhitch_planner.tenure import (
+    LEASE_KEY,
+    LEASE_TABLE,
+    LEASE_TIMEOUT_S,
+    decode_lease,
+)
 from bilberryhitch_testing import run_virtual
 
 
@@ -20,7 +29,7 @@
     clock = SimpleNamespace(
         monotonic=lambda: asyncio.get_running_loop().time(), time=lambda: 0.0
     )
-    monkeypatch.setattr("bilberryhitch_planner.journal.time", clock)
+    monkeypatch.setattr("bilberryhitch_planner.state_writer.time", clock)
     monkeypatch.setattr("bilberryhitch_planner.tenure.time", clock)
 
 
@@ -68,7 +77,7 @@
 
 def journal(store, tenure):
     planner = Planner(inherited_revision=tenure.token, inherited_until=0.0)
-    return planner, Journal(store, tenure, planner, keep_s=60.0)
+    return planner, StateWriter(store, tenure, planner, keep_s=60.0)
 
 
 def test_a_silent_holder_is_replaced_and_shut_out():
@@ -92,7 +101,7 @@
         _, held = journal(store, tenure)
         running = asyncio.create_task(held.run())
         rival = asyncio.create_task(Campaign(store, "b/1").win())
-        await asyncio.sleep(5 * SILENCE_S)
+        await asyncio.sleep(5 * LEASE_TIMEOUT_S)
         assert not rival.done()
         assert store.lease().holder == "a/1"
         for task in (running, rival):
@@ -108,7 +117,7 @@
         tenure = await Campaign(store, "a/1").win()
         _, held = journal(store, tenure)
         await held.release()
-        async with asyncio.timeout(SILENCE_S / 2):
+        async with asyncio.timeout(LEASE_TIMEOUT_S / 2):
             await Campaign(store, "b/1").win()
 
     run_virtual(scene())
@@ -120,7 +129,7 @@
     async def scene():
         store = MemoryStore()
         first = await Campaign(store, "a/1").win()
-        async with asyncio.timeout(SILENCE_S / 2):
+        async with asyncio.timeout(LEASE_TIMEOUT_S / 2):
             second = await Campaign(store, "a/2").win()
         assert second.token > first.token
 
@@ -174,12 +183,12 @@
         tenure = await Campaign(store, "a/1").win()
         planner, held = journal(store, tenure)
         queue = Queue("q", "h", "/q/", "pool", 3.0, 0, 1, 1.0, 1.0, False, None)
-        for number in range(2 * MOST_ENTRIES + 1):
+        for number in range(2 * MAX_ROWS_PER_COMMIT + 1):
             request = JobRequest(f"j{number}", queue, "a", "s", (), 0.0)
             progress = JobProgress(JobState.PENDING, "a", {})
             planner.add_job(request, progress, 1, now=0.0, unix_s=0.0)
             planner.dirty.add(request.job)
-        settled = asyncio.create_task(held.settle(5.0))
+        settled = asyncio.create_task(held.flush(5.0))
         await asyncio.sleep(0)
         for stored in (False, False, True):
             await held.write()
@@ -205,8 +214,8 @@
         planner.add_job(request, done, 1, now=0.0, unix_s=0.0)
         store.rows["jobs", request.job] = StoreRow("jobs", request.job, b"", 1)
         store.rows["progress", request.job] = StoreRow("progress", request.job, b"", 1)
-        sweeping = asyncio.create_task(held.sweep())
-        await asyncio.sleep(SWEEP_PERIOD_S * 1.5)
+        sweeping = asyncio.create_task(held.remove_expired())
+        await asyncio.sleep(REMOVAL_PERIOD_S * 1.5)
         assert ("jobs", request.job) not in store.rows
         assert ("progress", request.job) in store.rows
         await held.write()
@@ -228,7 +237,7 @@
         begun = JobProgress(JobState.RUNNING, "a", {})
         for name in ("done", "begun"):
             store.rows["progress", name] = StoreRow("progress", name, b"", 1)
-        held.take_orphans({"done": done, "begun": begun})
+        held.adopt_orphans({"done": done, "begun": begun})
         await held.write()
         assert ("progress", "done") not in store.rows
         assert ("progress", "begun") in store.rows
@@ -254,7 +263,7 @@
             asyncio.create_task(Campaign(store, f"{name}/1", "ip:2", ended).win())
             for name in "bc"
         ]
-        await asyncio.sleep(3 * SILENCE_S)
+        await asyncio.sleep(3 * LEASE_TIMEOUT_S)
         assert not any(rival.done() for rival in rivals)
         running.cancel()
         killed.set()
@@ -278,7 +287,7 @@
 
         server = await asyncio.start_server(accept, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        watching = asyncio.create_task(process_ended(f"127.0.0.1:{port}"))
+        watching = asyncio.create_task(wait_for_process_end(f"127.0.0.1:{port}"))
         (await accepted.get()).transport.abort()
         connection = await accepted.get()
         assert not watching.done()
@@ -302,7 +311,7 @@
         _, held = journal(store, tenure)
         await held.write()
         assert store.rows["summary", "waiting"].value == b'{"q":7}'
-        held.count_waiting()
+        held.enable_waiting_counts()
         await held.write()
         assert store.rows["summary", "waiting"].value == b"{}"
 
@@ -320,7 +329,7 @@
             await asyncio.Event().wait()
 
         rival = asyncio.create_task(Campaign(store, "b/1", "ip:2", ended).win())
-        await asyncio.sleep(SILENCE_S / 4)
+        await asyncio.sleep(LEASE_TIMEOUT_S / 4)
         rival.cancel()
         await asyncio.wait((rival,))
         await asyncio.sleep(0)
--- a/libs/planner/tests/test_upkeep.py
+++ b/libs/planner/tests/test_upkeep.py
@@ -7,7 +7,7 @@
 from bilberryhitch_jobs import RowSnapshot, RowWrite
 from bilberryhitch_jobs.errors import StoreUnknown
 from bilberryhitch_planner import Machine, UpkeepOutcome, Wave, WorkerFenced
-from bilberryhitch_planner.upkeep import Upkeep, WaveBook, departure_cost
+from bilberryhitch_planner.upkeep import UpkeepController, WaveState, takedown_cost
 from bilberryhitch_testing import run_virtual
 from bilberryhitch_testing.planner_world import World, entry, queue, request, step
 
@@ -26,50 +26,50 @@
 
 def test_no_more_machines_go_down_than_the_operator_allows():
     """Guards against LIMIT: a machine that may be down counts until it is back."""
-    book = WaveBook(wave("a", "b"), ())
-    assert book.choose(listed("a", "b"), free, 0.0) == ["a"]
+    book = WaveState(wave("a", "b"), ())
+    assert book.select(listed("a", "b"), free, 0.0) == ["a"]
     book.ordered["a"] = "i-a"
-    assert book.choose(listed("a", "b"), free, 1.0) == []
-    book.note("a", UpkeepOutcome.BEGUN, 1.0)
-    assert book.choose(listed("a", "b"), free, 1.5) == []
-    assert book.choose(listed("a", "b", down="a"), free, 3.0) == []
-    assert book.choose(listed("a", "b"), free, 5.0) == ["b"]
+    assert book.select(listed("a", "b"), free, 1.0) == []
+    book.apply_outcome("a", UpkeepOutcome.BEGUN, 1.0)
+    assert book.select(listed("a", "b"), free, 1.5) == []
+    assert book.select(listed("a", "b", down="a"), free, 3.0) == []
+    assert book.select(listed("a", "b"), free, 5.0) == ["b"]
 
 
 def test_an_order_of_an_earlier_planner_counts_until_it_is_answered():
     """Guards against LIMIT: an order without an answer may be carried out late."""
-    book = WaveBook(wave("a", "b"), ["a"])
-    assert book.choose(listed("a", "b"), free, 0.0) == []
+    book = WaveState(wave("a", "b"), ["a"])
+    assert book.select(listed("a", "b"), free, 0.0) == []
     assert book.unanswered(listed("a", "b")) == ["a"]
 
 
 def test_a_wave_is_complete_when_every_machine_that_stays_has_begun():
     """Guards against MIXED; a machine that was removed is not waited for."""
-    book = WaveBook(wave("a", "b"), ())
-    book.note("a", UpkeepOutcome.BEGUN, 0.0)
+    book = WaveState(wave("a", "b"), ())
+    book.apply_outcome("a", UpkeepOutcome.BEGUN, 0.0)
     assert not book.complete(listed("a", "b"))
     assert book.complete(listed("a"))
 
 
 def test_busy_machines_are_tried_again():
-    book = WaveBook(wave("a"), ["a"])
-    book.note("a", UpkeepOutcome.BUSY, 0.0)
-    assert book.choose(listed("a"), free, 1.0) == ["a"]
+    book = WaveState(wave("a"), ["a"])
+    book.apply_outcome("a", UpkeepOutcome.BUSY, 0.0)
+    assert book.select(listed("a"), free, 1.0) == ["a"]
 
 
 def test_work_may_end_before_its_machine_goes_down():
-    book = WaveBook(wave("a", "b", duration_s=20.0), ())
+    book = WaveState(wave("a", "b", duration_s=20.0), ())
     cost = {"a": 50.0, "b": 80.0}
     machines = listed("a", "b")
 
     def price(machine):
         return cost[machine.name]
 
-    assert book.choose(machines, price, 0.0) == []
-    assert set(book.leaving) == {"a"}
-    assert book.choose(machines, price, book.leave_s + 0.1) == ["a"]
+    assert book.select(machines, price, 0.0) == []
+    assert set(book.draining) == {"a"}
+    assert book.select(machines, price, book.drain_s + 0.1) == ["a"]
     cost["a"] = 0.0
-    assert book.choose(machines, price, 0.5) == ["a"]
+    assert book.select(machines, price, 0.5) == ["a"]
 
 
 def test_a_lasting_step_keeps_the_tasks_that_it_may_not_miss():
@@ -80,13 +80,13 @@
     world.add(request("serving", lasting, route=queue("batch", 2)))
     world.start_all()
     workers = world.planner.workers
-    assert departure_cost(workers["w1"], 1.0) is None
+    assert takedown_cost(workers["w1"], 1.0) is None
     for worker in workers.values():
         for run in worker.runs.values():
             run.percent = 100.0
-    assert departure_cost(workers["w1"], 1.0) is not None
+    assert takedown_cost(workers["w1"], 1.0) is not None
     next(iter(workers["w2"].runs.values())).percent = 0.0
-    assert departure_cost(workers["w1"], 1.0) is None
+    assert takedown_cost(workers["w1"], 1.0) is None
 
 
 class Calls:
@@ -125,12 +125,12 @@
 
     def __init__(self):
         self.rows = {}
-        self.lease_fresh = True
+        self.lease_is_fresh = True
 
     def put(self, write):
         self.rows[write.table, write.key] = write.value
 
-    async def settle(self, timeout_s):
+    async def flush(self, timeout_s):
         return True
 
 
@@ -142,7 +142,7 @@
             raise StoreUnknown("rows", "lost")
         return RowSnapshot((), 1)
 
-    return Upkeep(
+    return UpkeepController(
         SimpleNamespace(read=read),
         world.planner,
         notes,
@@ -203,11 +203,11 @@
     async def scene():
         world, notes = World(entry("i-a")), Notes()
         calls = Calls("abc")
-        notes.lease_fresh = False
+        notes.lease_is_fresh = False
         running = asyncio.create_task(upkeep(calls, notes, world).run())
         await asyncio.sleep(5)
         assert not calls.had
-        notes.lease_fresh = calls.fenced = True
+        notes.lease_is_fresh = calls.fenced = True
         with pytest.raises(WorkerFenced):
             await asyncio.wait_for(running, 5)
 
