--- a/libs/planner/src/bilberryhitch_planner/liveness.py
+++ b/libs/planner/src/bilberryhitch_planner/liveness.py
@@ -5,7 +5,7 @@
 
 # A host behind a cut answers nothing; its process may live on.
 CONNECT_TIMEOUT_S = 1.0
-PROBE_INTERVAL_S = 0.5
+PROBE_RETRY_S = 0.5
 
 
 async def wait_for_process_end(address: str) -> None:
@@ -25,7 +25,7 @@
         except ConnectionRefusedError:
             return
         except (OSError, TimeoutError):
-            await asyncio.sleep(PROBE_INTERVAL_S)
+            await asyncio.sleep(PROBE_RETRY_S)
             continue
         try:
             with suppress(OSError):
--- a/libs/planner/src/bilberryhitch_planner/reservations.py
+++ b/libs/planner/src/bilberryhitch_planner/reservations.py
@@ -18,7 +18,7 @@
 
 # Workers that wait for a gang do nothing else at last; the rest of a pool goes on
 # with short work. Trials with the emulator: journal/trials.
-MAX_RESERVED_SHARE = 0.75
+MAX_RESERVED_POOL_SHARE = 0.75
 # Expected ends differ by about this much from one look to the next.
 MIN_SWITCH_GAIN_S = 1.0
 # Gangs considered in one round, which bounds its processor time.
@@ -73,7 +73,7 @@
         :param workers: workers that it may use
         :param pool: all workers of its service
         """
-        most = int(len(pool) * MAX_RESERVED_SHARE) - len(self._by_worker)
+        most = int(len(pool) * MAX_RESERVED_POOL_SHARE) - len(self._by_worker)
         if self._gangs >= MAX_GANGS_PER_ROUND or most <= 0:
             return
         self._gangs += 1
--- a/libs/planner/src/bilberryhitch_planner/speeds.py
+++ b/libs/planner/src/bilberryhitch_planner/speeds.py
@@ -8,7 +8,7 @@
 # Looks sooner than this tell more of the start than of the worker.
 MIN_ELAPSED_S = 1.0
 COMPLETE_PERCENT = 100.0
-MIN_RUNS = 3
+MIN_COMPARED_RUNS = 3
 # One look must not call a worker dead or miraculous.
 MIN_RELATIVE_SPEED, MAX_RELATIVE_SPEED = 0.1, 2.0
 # Disturbances last several seconds, and an avoided worker is not looked at.
@@ -42,7 +42,7 @@
         for other in sibling.runs.values()
         if other.rate > 0
     ]
-    if len(rates) < MIN_RUNS:
+    if len(rates) < MIN_COMPARED_RUNS:
         return
     relative = run.rate * len(rates) / sum(rates)
     relative = min(max(relative, MIN_RELATIVE_SPEED), MAX_RELATIVE_SPEED)
--- a/libs/planner/src/bilberryhitch_planner/state_writer.py
+++ b/libs/planner/src/bilberryhitch_planner/state_writer.py
@@ -41,9 +41,9 @@
 from .planner import Planner
 from .tenure import (
     CALL_TIMEOUT_S,
+    LEASE_EXPIRY_S,
     LEASE_KEY,
     LEASE_TABLE,
-    LEASE_TIMEOUT_S,
     RENEWAL_PERIOD_S,
     WORKER_LEASE_HORIZON_S,
     LeaseRow,
@@ -141,7 +141,7 @@
     @property
     def lease_is_fresh(self) -> bool:
         """Whether no other host can have acquired the lease yet."""
-        return time.monotonic() - self._confirmed_at < LEASE_TIMEOUT_S / 2
+        return time.monotonic() - self._confirmed_at < LEASE_EXPIRY_S / 2
 
     @property
     def _pending(self) -> bool:
--- a/libs/planner/src/bilberryhitch_planner/tenure.py
+++ b/libs/planner/src/bilberryhitch_planner/tenure.py
@@ -22,7 +22,7 @@
 LEASE_KEY = "lease"
 RENEWAL_PERIOD_S = 0.4
 # Two renewals and one call that took all its time.
-LEASE_TIMEOUT_S = 1.7
+LEASE_EXPIRY_S = 1.7
 CALL_TIMEOUT_S = 0.8
 RETRY_PAUSE_S = 0.2
 # Candidates that notice the holder's end at once spread their acquisitions over this.
@@ -131,7 +131,7 @@
     async def _wait_for_change(self, lease: LeaseRow) -> bool:
         """Return whether the lease changed before its holder seemed to be gone."""
         watch = asyncio.create_task(
-            self._store.watch(LEASE_TABLE, self._revision, LEASE_TIMEOUT_S)
+            self._store.watch(LEASE_TABLE, self._revision, LEASE_EXPIRY_S)
         )
         try:
             await self._until_changed_or_ended(lease, watch)
--- a/libs/planner/tests/test_reservations.py
+++ b/libs/planner/tests/test_reservations.py
@@ -1,7 +1,7 @@
 """Loads in which wide gangs wait for whole workers that never become idle together."""
 
 from bilberryhitch_planner import EndKind
-from bilberryhitch_planner.reservations import MAX_RESERVED_SHARE
+from bilberryhitch_planner.reservations import MAX_RESERVED_POOL_SHARE
 from bilberryhitch_testing.planner_world import (
     World,
     ended,
@@ -89,7 +89,7 @@
         for worker in world.planner.workers.values()
         for run in worker.runs.values()
     )
-    reserved = int(10 * MAX_RESERVED_SHARE)
+    reserved = int(10 * MAX_RESERVED_POOL_SHARE)
     assert batch <= 2
     for order in at_work[2:]:
         end(world, order, [])
--- a/libs/planner/tests/test_tenure.py
+++ b/libs/planner/tests/test_tenure.py
@@ -15,9 +15,9 @@
     StateWriter,
 )
 from bilberryhitch_planner.tenure import (
+    LEASE_EXPIRY_S,
     LEASE_KEY,
     LEASE_TABLE,
-    LEASE_TIMEOUT_S,
     decode_lease,
 )
 from bilberryhitch_testing import run_virtual
@@ -101,7 +101,7 @@
         _, held = journal(store, tenure)
         running = asyncio.create_task(held.run())
         rival = asyncio.create_task(Campaign(store, "b/1").win())
-        await asyncio.sleep(5 * LEASE_TIMEOUT_S)
+        await asyncio.sleep(5 * LEASE_EXPIRY_S)
         assert not rival.done()
         assert store.lease().holder == "a/1"
         for task in (running, rival):
@@ -117,7 +117,7 @@
         tenure = await Campaign(store, "a/1").win()
         _, held = journal(store, tenure)
         await held.release()
-        async with asyncio.timeout(LEASE_TIMEOUT_S / 2):
+        async with asyncio.timeout(LEASE_EXPIRY_S / 2):
             await Campaign(store, "b/1").win()
 
     run_virtual(scene())
@@ -129,7 +129,7 @@
     async def scene():
         store = MemoryStore()
         first = await Campaign(store, "a/1").win()
-        async with asyncio.timeout(LEASE_TIMEOUT_S / 2):
+        async with asyncio.timeout(LEASE_EXPIRY_S / 2):
             second = await Campaign(store, "a/2").win()
         assert second.token > first.token
 
@@ -263,7 +263,7 @@
             asyncio.create_task(Campaign(store, f"{name}/1", "ip:2", ended).win())
             for name in "bc"
         ]
-        await asyncio.sleep(3 * LEASE_TIMEOUT_S)
+        await asyncio.sleep(3 * LEASE_EXPIRY_S)
         assert not any(rival.done() for rival in rivals)
         running.cancel()
         killed.set()
@@ -329,7 +329,7 @@
             await asyncio.Event().wait()
 
         rival = asyncio.create_task(Campaign(store, "b/1", "ip:2", ended).win())
-        await asyncio.sleep(LEASE_TIMEOUT_S / 4)
+        await asyncio.sleep(LEASE_EXPIRY_S / 4)
         rival.cancel()
         await asyncio.wait((rival,))
         await asyncio.sleep(0)
