--- a/libs/gangs/src/bilberryhitch_gangs/planner_lease.py
+++ b/libs/gangs/src/bilberryhitch_gangs/planner_lease.py
@@ -209,7 +209,9 @@
             expects = [Expect(self._key, self._revision)]
             writes = [Put(self._key, encode(free))]
             try:
-                await commit(self._tables, expects, writes, self._new_id(), tries=1)
+                await commit(
+                    self._tables, expects, writes, self._new_id(), max_attempts=1
+                )
             except StoreError:
                 return
 
--- a/libs/platform/src/bilberryhitch_platform/commit.py
+++ b/libs/platform/src/bilberryhitch_platform/commit.py
@@ -12,7 +12,7 @@
 
 from .interfaces import Expect, Put, Row, TableService, Write
 
-OPERATIONS = "operations/"
+OPERATIONS_PREFIX = "operations/"
 APPLIED = b"applied"
 ABANDONED = b"abandoned"
 RETRY_DELAY_S = 0.2
@@ -24,23 +24,23 @@
     writes: Sequence[Write],
     operation_id: str,
     *,
-    tries: int = 3,
+    max_attempts: int = 3,
 ) -> Result[int, StoreConflict]:
     """Apply a transaction at most once, resolving lost answers.
 
     The transaction also writes a row under ``operation_id``, so sending it
     again cannot apply it twice.
 
-    :param tries: how often the transaction is sent before giving up
+    :param max_attempts: how often the transaction is sent before giving up
     :returns: the revision, or the conflict that refused it
     :raises StoreUnavailable: it was never applied and never will be
     :raises StoreAnswerLost: it may have been applied; see :func:`abandon`
     """
-    key = OPERATIONS + operation_id
+    key = OPERATIONS_PREFIX + operation_id
     all_expects = (*expects, Expect(key, 0))
     all_writes = (*writes, Put(key, APPLIED))
     uncertain = False
-    for attempt in range(tries):
+    for attempt in range(max_attempts):
         if attempt:
             await asyncio.sleep(RETRY_DELAY_S * attempt)
         try:
@@ -51,7 +51,7 @@
         except StoreAnswerLost:
             uncertain = True
         except StoreUnavailable:
-            if not uncertain and attempt == tries - 1:
+            if not uncertain and attempt == max_attempts - 1:
                 raise
     raise StoreAnswerLost(operation_id)
 
@@ -73,7 +73,7 @@
     :raises StoreUnavailable: nothing is known yet
     :raises StoreAnswerLost: nothing is known yet
     """
-    key = OPERATIONS + operation_id
+    key = OPERATIONS_PREFIX + operation_id
     result = await tables.transact([Expect(key, 0)], [Put(key, ABANDONED)])
     if result.is_ok():
         return Ok(None)
--- a/libs/platform/src/bilberryhitch_platform/http_client.py
+++ b/libs/platform/src/bilberryhitch_platform/http_client.py
@@ -99,7 +99,7 @@
         """
         answer = await self._read("get", "/v1/tables/row", {"key": key})
         row = _decoded("get", RowAnswer, answer.body).row
-        return None if row is None else row.row()
+        return None if row is None else row.to_row()
 
     async def scan(
         self, prefix: str, since: int = 0, after: str = "", limit: int = 1000
@@ -115,7 +115,7 @@
             "limit": str(limit),
         }
         answer = await self._read("scan", "/v1/tables/rows", query)
-        return _decoded("scan", PageAnswer, answer.body).page()
+        return _decoded("scan", PageAnswer, answer.body).to_page()
 
     async def transact(
         self, expects: Sequence[Expect], writes: Sequence[Write]
--- a/libs/platform/src/bilberryhitch_platform/sweeper.py
+++ b/libs/platform/src/bilberryhitch_platform/sweeper.py
@@ -15,7 +15,7 @@
 import msgspec
 from bilberryhitch_model.errors import StoreError
 
-from .commit import OPERATIONS, commit
+from .commit import OPERATIONS_PREFIX, commit
 from .interfaces import Delete, Expect, Put, Row, TableService
 
 SWEEPS_KEY = "sweeps/operations"
@@ -94,7 +94,7 @@
         after = ""
         while True:
             page = await self._tables.scan(
-                OPERATIONS, after=after, limit=ROWS_PER_DELETION
+                OPERATIONS_PREFIX, after=after, limit=ROWS_PER_DELETION
             )
             await self._delete([row for row in page.rows if row.revision <= revision])
             if not page.more:
--- a/libs/platform/src/bilberryhitch_platform/wire.py
+++ b/libs/platform/src/bilberryhitch_platform/wire.py
@@ -22,11 +22,11 @@
     revision: int
 
     @classmethod
-    def of(cls, row: Row) -> "WireRow":
+    def from_row(cls, row: Row) -> "WireRow":
         """Return the wire form of a row."""
         return cls(row.key, row.value, row.revision)
 
-    def row(self) -> Row:
+    def to_row(self) -> Row:
         """Return the row."""
         return Row(self.key, self.value, self.revision)
 
@@ -45,14 +45,14 @@
     more: bool
 
     @classmethod
-    def of(cls, page: Page) -> "PageAnswer":
+    def from_page(cls, page: Page) -> "PageAnswer":
         """Return the wire form of a page."""
-        rows = [WireRow.of(row) for row in page.rows]
+        rows = [WireRow.from_row(row) for row in page.rows]
         return cls(rows, page.revision, page.more)
 
-    def page(self) -> Page:
+    def to_page(self) -> Page:
         """Return the page."""
-        return Page(tuple(row.row() for row in self.rows), self.revision, self.more)
+        return Page(tuple(row.to_row() for row in self.rows), self.revision, self.more)
 
 
 class WireExpect(msgspec.Struct):
@@ -75,11 +75,11 @@
     expects: list[WireExpect]
     writes: list[WireWrite]
 
-    def product_expects(self) -> list[Expect]:
+    def to_expects(self) -> list[Expect]:
         """Return the conditions as the interfaces have them."""
         return [Expect(expect.key, expect.revision) for expect in self.expects]
 
-    def product_writes(self) -> list[Write]:
+    def to_writes(self) -> list[Write]:
         """Return the writes as the interfaces have them."""
         return [
             Delete(write.key) if write.value is None else Put(write.key, write.value)
--- a/libs/standins/src/bilberryhitch_standins/platform_server.py
+++ b/libs/standins/src/bilberryhitch_standins/platform_server.py
@@ -134,7 +134,7 @@
     async def _get_row(self, request: web.Request) -> web.Response:
         self.reads += 1
         row = await self.tables.get(request.query.get("key", ""))
-        return _json(RowAnswer(None if row is None else WireRow.of(row)))
+        return _json(RowAnswer(None if row is None else WireRow.from_row(row)))
 
     async def _scan(self, request: web.Request) -> web.Response:
         self.reads += 1
@@ -146,14 +146,14 @@
             query.get("after", ""),
             max(limit, 1),
         )
-        return _json(PageAnswer.of(page))
+        return _json(PageAnswer.from_page(page))
 
     async def _transact(self, request: web.Request) -> web.Response:
         body = await _limited_body(request, MAX_TRANSACTION_BYTES)
         transaction = msgspec.json.decode(body, type=Transaction)
         self.writes += 1
         result = await self.tables.transact(
-            transaction.product_expects(), transaction.product_writes()
+            transaction.to_expects(), transaction.to_writes()
         )
         if result.is_ok():
             return _json(Committed(result.ok))
--- a/tests/machines/test_point8_config.py
+++ b/tests/machines/test_point8_config.py
@@ -180,7 +180,7 @@
 def lost_answer_taken_for_refusal(monkeypatch):
     async def commit_once(tables, expects, writes, operation_id):
         try:
-            return await commit(tables, expects, writes, operation_id, tries=1)
+            return await commit(tables, expects, writes, operation_id, max_attempts=1)
         except StoreAnswerLost:
             raise StoreUnavailable("transact") from None
 
