--- a/libs/gangs/src/bilberryhitch_gangs/active_planner.py
+++ b/libs/gangs/src/bilberryhitch_gangs/active_planner.py
@@ -74,7 +74,7 @@
         self.poll_now = asyncio.Event()
 
     def has_job(self, job_id: str) -> bool:
-        """Whether the job is unfinished and belongs to this pool."""
+        """Whether the job is known and unfinished."""
         return job_id in self._context.rows
 
     def explain(self, job_id: str) -> Explanation:
--- a/libs/gangs/src/bilberryhitch_gangs/commit_resolution.py
+++ b/libs/gangs/src/bilberryhitch_gangs/commit_resolution.py
@@ -20,23 +20,23 @@
     expects: Sequence[Expect],
     writes: Sequence[Write],
     operation_id: str,
-    deadline_s: float = float("inf"),
+    resolve_timeout_s: float = float("inf"),
 ) -> Result[int, StoreConflict]:
     """Commit a transaction; if the answer is lost, find out whether it applied.
 
     :param operation_id: identifies the transaction to the store
-    :param deadline_s: how long to try to resolve a lost answer, in seconds
+    :param resolve_timeout_s: how long to try to resolve a lost answer
     :returns: the store revision of the commit, or the conflict
     :raises StoreUnavailable: it was not applied and never will be
-    :raises StoreAnswerLost: the outcome is still unknown at the deadline
+    :raises StoreAnswerLost: the outcome is still unknown after that time
     """
     loop = asyncio.get_running_loop()
-    until = loop.time() + deadline_s
+    deadline = loop.time() + resolve_timeout_s
     try:
         return await commit(tables, expects, writes, operation_id)
     except StoreAnswerLost:
         pass
-    while loop.time() < until:
+    while loop.time() < deadline:
         try:
             abandoned = await abandon(tables, operation_id)
         except StoreError:
--- a/libs/gangs/src/bilberryhitch_gangs/job_service.py
+++ b/libs/gangs/src/bilberryhitch_gangs/job_service.py
@@ -73,7 +73,7 @@
         """Queue a message; return whether it was queued."""
 
     async def call(self, host: str, message: Message, timeout_s: float) -> Message:
-        """Send a message and return its answer."""
+        """Send a message and return its reply."""
 
 
 class JobService:
@@ -206,7 +206,7 @@
         return Ok(Explanation(job_id, record.state, "no-planner", detail))
 
     async def handle(self, sender: str, message: Message) -> Message | None:
-        """Handle a message of another entry host; return the answer, if any."""
+        """Handle a message of another entry host; return the reply, if any."""
         if isinstance(message, JobNotice):
             self._planners.wake(message.job_id)
             self._waiters.wake(message.job_id)
@@ -222,7 +222,7 @@
         return None
 
     def notify_changed(self, record: JobRecord) -> None:
-        """Notify the entry hosts of the job's data centre of a new job row."""
+        """Notify the entry hosts of the job's data centre of a changed job row."""
         self._waiters.wake(record.job_id)
         self._notify_planners(record.job_id, JobNotice(record.job_id, record.state))
 
--- a/libs/gangs/src/bilberryhitch_gangs/planner_lease.py
+++ b/libs/gangs/src/bilberryhitch_gangs/planner_lease.py
@@ -29,7 +29,7 @@
 LEASE_TIMEOUT_S = 3.0
 RENEW_INTERVAL_S = 1.0
 POLL_INTERVAL_S = 0.5
-# Candidates wait longer by rank, so that they do not all write at once.
+# Each candidate waits this much longer than the one ranked before it.
 RANK_DELAY_S = 0.5
 EPOCH_KEY = "planners/epoch"
 
@@ -49,6 +49,7 @@
     """Value of the lease row.
 
     :param holder: entry host that holds the lease; empty once it is released
+    :param incarnation: run of the holder's process
     :param epoch: fencing token of the holder
     """
 
@@ -125,24 +126,22 @@
         :param own_rank: returns this host's rank among the candidates, from 0
         """
         loop = asyncio.get_running_loop()
-        last_revision, unchanged_since = -1, loop.time()
+        last_revision, changed_at = -1, loop.time()
         while True:
             try:
                 row = await self._tables.get(self._key)
             except StoreError:
                 # The holder cannot renew while the store is down: wait a full timeout.
-                last_revision, unchanged_since = -1, loop.time()
+                last_revision, changed_at = -1, loop.time()
                 await asyncio.sleep(POLL_INTERVAL_S)
                 continue
             revision = 0 if row is None else row.revision
             if revision != last_revision:
-                last_revision, unchanged_since = revision, loop.time()
+                last_revision, changed_at = revision, loop.time()
             delay = own_rank() * RANK_DELAY_S + (
                 0.0 if _is_free(row) else LEASE_TIMEOUT_S
             )
-            if loop.time() - unchanged_since >= delay and await self._try_acquire(
-                revision
-            ):
+            if loop.time() - changed_at >= delay and await self._try_acquire(revision):
                 return
             await asyncio.sleep(POLL_INTERVAL_S)
 
--- a/libs/gangs/src/bilberryhitch_gangs/planner_set.py
+++ b/libs/gangs/src/bilberryhitch_gangs/planner_set.py
@@ -104,7 +104,7 @@
 
     async def sync(self) -> None:
         """Start and close planners to match the current configuration and members."""
-        wanted = self._wanted()
+        wanted = self._wanted_pools()
         for pool, planner in list(self._planners.items()):
             failed = planner.task is None or planner.task.done()
             if failed or (pool not in wanted and not planner.planning):
@@ -133,7 +133,7 @@
             await self.sync()
             await asyncio.sleep(SYNC_INTERVAL_S)
 
-    def _wanted(self) -> set[str]:
+    def _wanted_pools(self) -> set[str]:
         pools = self._tables_view().pools.values()
         return {
             pool.name
--- a/libs/gangs/tests/test_active_planner.py
+++ b/libs/gangs/tests/test_active_planner.py
@@ -15,7 +15,7 @@
     world.close()
 
 
-def starts(world, host, since=0.0):
+def started_attempts(world, host, since=0.0):
     return [
         event.attempt_id
         for event in world.events()
@@ -49,12 +49,12 @@
     world.submit(world.call(accelerators=4, seconds=1.0))
     world.submit(world.call(accelerators=4, seconds=1.0))
     world.advance(15)
-    assert starts(world, "w0") == [other]
-    assert len(starts(world, "w1")) == 2
+    assert started_attempts(world, "w0") == [other]
+    assert len(started_attempts(world, "w1")) == 2
     world.advance(10)
     world.submit(world.call(tasks=2, accelerators=4, seconds=1.0))
     world.advance(8)
-    assert len(starts(world, "w0")) == 2
+    assert len(started_attempts(world, "w0")) == 2
 
 
 def test_worker_that_fails_everything_is_quarantined_and_probed(world):
@@ -66,7 +66,9 @@
     for _ in range(4):
         world.submit(world.call(accelerators=4, seconds=1.0))
         world.advance(10)
-    failed = [attempt for attempt in starts(world, "w0") if "probe" not in attempt]
+    failed = [
+        attempt for attempt in started_attempts(world, "w0") if "probe" not in attempt
+    ]
     assert len(failed) == 2
     statuses = [record.status for record in world.records().values()]
     assert statuses == ["completed"] * 4
@@ -75,7 +77,7 @@
     since = world.loop.time()
     world.submit(world.call(tasks=2, accelerators=4, seconds=1.0))
     world.advance(8)
-    assert len(starts(world, "w0", since)) == 1
+    assert len(started_attempts(world, "w0", since)) == 1
 
 
 @pytest.mark.parametrize(
--- a/libs/peers/src/bilberryhitch_peers/link.py
+++ b/libs/peers/src/bilberryhitch_peers/link.py
@@ -76,6 +76,7 @@
     :param queue_limit: maximum number of queued messages per peer
     :param max_message_bytes: maximum size of a frame
     :param report: called with reason and log fields for each dropped message
+    :ivar counts: counters of this link
     """
 
     def __init__(
