--- a/libs/scheduling/src/bilberryhitch_scheduling/explanations.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/explanations.py
@@ -15,13 +15,13 @@
     """A guaranteed cell that is bound.
 
     :param accelerators: size of the guaranteed cell
-    :param place: its workers, with accelerators numbered within each worker
+    :param location: its workers, with accelerators numbered within each worker
     :param jobs: ids of the jobs in it
     """
 
     client_account: str
     accelerators: int
-    place: tuple[tuple[str, tuple[int, ...]], ...]
+    location: tuple[tuple[str, tuple[int, ...]], ...]
     jobs: tuple[str, ...]
 
 
@@ -29,13 +29,13 @@
     """Return one row per bound cell."""
     rows = []
     for bound in guarantees.bound_cells():
-        place = tuple(
+        location = tuple(
             (host, tuple(a - fleet.tree.first_accelerator[host] for a in taken))
             for host, taken in fleet.tree.hosts_in(bound.cell)
         )
         key = bound.key
         row = BoundCellRow(
-            key.client_account, key.accelerators, place, tuple(bound.jobs)
+            key.client_account, key.accelerators, location, tuple(bound.jobs)
         )
         rows.append(row)
     return rows
--- a/libs/scheduling/tests/test_scheduler.py
+++ b/libs/scheduling/tests/test_scheduler.py
@@ -71,7 +71,7 @@
 def test_lost_host_causes_a_shortfall_only_after_its_job_ended():
     scheduler = make_scheduler(("a", 8, 1), ("b", 8, 1))
     submit(scheduler, make_job("a1"))
-    scheduler.host_lost(scheduler.bound_cells()[0].place[0][0])
+    scheduler.host_lost(scheduler.bound_cells()[0].location[0][0])
     assert scheduler.shortfall() == []
     scheduler.finished("a1", 5.0)
     assert [(s.client_account, s.missing) for s in scheduler.shortfall()] == [("b", 1)]
--- a/tests/machines/test_point1_reclaim.py
+++ b/tests/machines/test_point1_reclaim.py
@@ -102,7 +102,7 @@
             (
                 row.client_account,
                 row.accelerators,
-                [(host, index) for host, taken in row.place for index in taken],
+                [(host, index) for host, taken in row.location for index in taken],
                 row.jobs,
             )
             for row in self.scheduler.bound_cells()
