--- a/libs/requests/src/bilberryhitch_requests/dispatch.py
+++ b/libs/requests/src/bilberryhitch_requests/dispatch.py
@@ -11,8 +11,8 @@
 from .forwarding import Failed
 from .outcomes import RequestRecord
 from .queue_key import queue_key_of
+from .request_queue import RequestQueue
 from .slots import ExecutorSlots, SlotLease
-from .waiting import RequestQueue
 
 HTTP_OK = 200
 
--- a/libs/requests/src/bilberryhitch_requests/forwarded.py
+++ b/libs/requests/src/bilberryhitch_requests/forwarded.py
@@ -10,8 +10,8 @@
 from .forwarding import Failed, Forwarder, new_run_id
 from .outcomes import RequestRecord, RequestRecords
 from .queue_key import queue_key_of
+from .request_queue import NoSlot, QueuedRequest, RequestQueue
 from .slots import SlotLease
-from .waiting import NoSlot, QueuedRequest, RequestQueue
 
 # Half of the messages that the peer link handles at once: forwards that wait for a
 # slot must not block grants, heartbeats and notices.
--- a/libs/requests/src/bilberryhitch_requests/running.py
+++ b/libs/requests/src/bilberryhitch_requests/running.py
@@ -12,9 +12,9 @@
 from .outcomes import RequestRecord
 from .queue_key import queue_key_of
 from .reporting import report_retry
+from .request_queue import Assignment, NoSlot, PeerTarget, QueuedRequest, RequestQueue
 from .retries import RetryBudgets
 from .slots import SlotLease
-from .waiting import Assignment, NoSlot, PeerTarget, QueuedRequest, RequestQueue
 
 # Jitter that spreads the retries of requests refused by a full executor or peer.
 MAX_REQUEUE_DELAY_S = 0.05
--- a/libs/requests/src/bilberryhitch_requests/service.py
+++ b/libs/requests/src/bilberryhitch_requests/service.py
@@ -28,10 +28,10 @@
 from .keyed import KeyedRequests
 from .outcomes import MAX_RECORDS, RequestRecord, RequestRecords
 from .reporting import report_outcome
+from .request_queue import RequestQueue
 from .running import RequestRunner
 from .slots import SLOTS_PER_EXECUTOR, ExecutorSlots, SelectOwner
 from .status_lookup import StatusLookup
-from .waiting import RequestQueue
 
 MAINTENANCE_INTERVAL_S = 0.25
 MAX_QUEUED = 10_000
--- a/libs/requests/tests/test_waiting.py
+++ b/libs/requests/tests/test_request_queue.py
@@ -3,14 +3,14 @@
 import pytest
 from bilberryhitch_model import Pool, Share
 from bilberryhitch_requests.queue_key import QueueKey
-from bilberryhitch_requests.slots import SlotLease
-from bilberryhitch_requests.waiting import (
+from bilberryhitch_requests.request_queue import (
     USAGE_WINDOW_S,
     NoSlot,
     PeerTarget,
     QueuedRequest,
     RequestQueue,
 )
+from bilberryhitch_requests.slots import SlotLease
 from bilberryhitch_testing import run_virtual
 
 
--- a/measure/request_cost.py
+++ b/measure/request_cost.py
@@ -16,7 +16,7 @@
 from unittest import mock
 
 from bilberryhitch_model import Pool, RequestCall, Route, Tables
-from bilberryhitch_requests import waiting
+from bilberryhitch_requests import request_queue
 from bilberryhitch_testing import run_virtual
 
 from measure.records import write_record
@@ -121,7 +121,7 @@
         return run_virtual(_small(account, large, seed, spread=spread))
 
     alone_s, fair_s = run(0), run(LARGE_REQUESTS)
-    with mock.patch.object(waiting, "FairQueue", FifoQueue):
+    with mock.patch.object(request_queue, "FairQueue", FifoQueue):
         fifo_s = run(LARGE_REQUESTS)
     return {
         "fairness": f"small caller of account {account}",
