--- a/libs/requests/src/bilberryhitch_requests/dispatch.py
+++ b/libs/requests/src/bilberryhitch_requests/dispatch.py
@@ -9,9 +9,9 @@
 
 from .executor_client import ExecutorAnswer, ExecutorClient, check_answer
 from .forwarding import Failed
-from .outcomes import RequestRecord
 from .queue_key import queue_key_of
 from .request_queue import RequestQueue
+from .request_records import RequestRecord
 from .slots import ExecutorSlots, SlotLease
 
 HTTP_OK = 200
--- a/libs/requests/src/bilberryhitch_requests/forwarded.py
+++ b/libs/requests/src/bilberryhitch_requests/forwarded.py
@@ -8,9 +8,9 @@
 
 from .dispatch import Dispatcher
 from .forwarding import Failed, Forwarder, new_run_id
-from .outcomes import RequestRecord, RequestRecords
 from .queue_key import queue_key_of
 from .request_queue import NoSlot, QueuedRequest, RequestQueue
+from .request_records import RequestRecord, RequestRecords
 from .slots import SlotLease
 
 # Half of the messages that the peer link handles at once: forwards that wait for a
--- a/libs/requests/src/bilberryhitch_requests/forwarding.py
+++ b/libs/requests/src/bilberryhitch_requests/forwarding.py
@@ -26,8 +26,8 @@
 
 from .handles import make_run_id
 from .interfaces import MembershipView, PeerCalls
-from .outcomes import RequestRecord
 from .queue_key import QueueKey
+from .request_records import RequestRecord
 from .slots import SLOTS_PER_EXECUTOR, ExecutorSlots
 
 # Heartbeats renew a peer's counts every 0.5 s. The counts expire after the liveness
--- a/libs/requests/src/bilberryhitch_requests/keyed.py
+++ b/libs/requests/src/bilberryhitch_requests/keyed.py
@@ -14,7 +14,7 @@
 from expression import Result
 
 from .claims import Claim, ClaimRow, Claims, request_digest
-from .outcomes import RequestRecord
+from .request_records import RequestRecord
 
 # A "not run" answer waits this long for the release of its key, so that the caller can
 # use the key again.
--- a/libs/requests/src/bilberryhitch_requests/running.py
+++ b/libs/requests/src/bilberryhitch_requests/running.py
@@ -9,10 +9,10 @@
 from .dispatch import Dispatcher
 from .forwarding import Failed, Forwarder, PeerSlots
 from .interfaces import ConfigView
-from .outcomes import RequestRecord
 from .queue_key import queue_key_of
 from .reporting import report_retry
 from .request_queue import Assignment, NoSlot, PeerTarget, QueuedRequest, RequestQueue
+from .request_records import RequestRecord
 from .retries import RetryBudgets
 from .slots import SlotLease
 
--- a/libs/requests/src/bilberryhitch_requests/service.py
+++ b/libs/requests/src/bilberryhitch_requests/service.py
@@ -26,9 +26,9 @@
 from .handles import make_handle
 from .interfaces import ConfigView, MembershipView, PeerCalls
 from .keyed import KeyedRequests
-from .outcomes import MAX_RECORDS, RequestRecord, RequestRecords
 from .reporting import report_outcome
 from .request_queue import RequestQueue
+from .request_records import MAX_RECORDS, RequestRecord, RequestRecords
 from .running import RequestRunner
 from .slots import SLOTS_PER_EXECUTOR, ExecutorSlots, SelectOwner
 from .status_lookup import StatusLookup
--- a/libs/requests/src/bilberryhitch_requests/status_lookup.py
+++ b/libs/requests/src/bilberryhitch_requests/status_lookup.py
@@ -9,7 +9,7 @@
 from .forwarded import ForwardedRequests
 from .forwarding import Forwarder, answer_grant_request
 from .handles import parse_handle, split_run_id
-from .outcomes import RequestRecords
+from .request_records import RequestRecords
 
 
 class StatusLookup:
--- a/libs/requests/tests/test_outcomes.py
+++ b/libs/requests/tests/test_request_records.py
@@ -1,5 +1,5 @@
 from bilberryhitch_model import Outcome
-from bilberryhitch_requests.outcomes import RequestRecord, RequestRecords
+from bilberryhitch_requests.request_records import RequestRecord, RequestRecords
 
 
 def test_closed_record_gives_no_grant():
--- a/tests/machines/test_point4_not_run.py
+++ b/tests/machines/test_point4_not_run.py
@@ -1,5 +1,5 @@
 import pytest
-from bilberryhitch_requests import dispatch, outcomes
+from bilberryhitch_requests import dispatch, request_records
 
 from tests.machines.harness import Counts, Point, run_point
 from tests.machines.oracle_point4_not_run import check_point4
@@ -36,12 +36,12 @@
 
 REMOVED = {
     "closed records grant nothing": (
-        (outcomes.RequestRecord, "grant", grant_after_close),
+        (request_records.RequestRecord, "grant", grant_after_close),
     ),
     "a forward is granted once": (
-        (outcomes.RequestRecord, "grant_forward", grant_every_copy),
+        (request_records.RequestRecord, "grant_forward", grant_every_copy),
     ),
-    "a lost attempt may have run": ((outcomes.RequestRecord, "lose", forget_lost),),
+    "a lost attempt may have run": ((request_records.RequestRecord, "lose", forget_lost),),
     "only the 503 is a refusal": (
         (dispatch, "ExecutorNotAccepted", (dispatch.ExecutorNotAccepted,
                                            dispatch.ExecutorLost)),
--- a/tests/machines/test_point5_requests.py
+++ b/tests/machines/test_point5_requests.py
@@ -1,5 +1,5 @@
 import pytest
-from bilberryhitch_requests import keyed, outcomes, running
+from bilberryhitch_requests import keyed, request_records, running
 from expression import Ok
 
 from tests.machines.harness import Counts, Point, run_point
@@ -45,7 +45,7 @@
     "claim before dispatch": (keyed.Claims, "claim", claim_nothing),
     "no claim, no run": (keyed.KeyedRequests, "_serve_unclaimed", run_unclaimed),
     "a forward is granted once": (
-        outcomes.RequestRecord,
+        request_records.RequestRecord,
         "grant_forward",
         grant_every_copy,
     ),
