--- a/libs/requests/src/bilberryhitch_requests/service.py
+++ b/libs/requests/src/bilberryhitch_requests/service.py
@@ -29,7 +29,7 @@
 from .reporting import report_outcome
 from .request_queue import RequestQueue
 from .request_records import MAX_RECORDS, RequestRecord, RequestRecords
-from .running import RequestRunner
+from .request_runner import RequestRunner
 from .slots import SLOTS_PER_EXECUTOR, ExecutorSlots, SelectOwner
 from .status_lookup import StatusLookup
 
--- a/tests/machines/test_point5_requests.py
+++ b/tests/machines/test_point5_requests.py
@@ -1,5 +1,5 @@
 import pytest
-from bilberryhitch_requests import keyed, request_records, running
+from bilberryhitch_requests import keyed, request_records, request_runner
 from expression import Ok
 
 from tests.machines.harness import Counts, Point, run_point
@@ -39,7 +39,7 @@
     return await RUN(self, call, route._replace(idempotent=True), record)
 
 
-RUN = running.RequestRunner.run
+RUN = request_runner.RequestRunner.run
 
 REMOVED = {
     "claim before dispatch": (keyed.Claims, "claim", claim_nothing),
@@ -50,7 +50,7 @@
         grant_every_copy,
     ),
     "only idempotent routes are retried": (
-        running.RequestRunner,
+        request_runner.RequestRunner,
         "run",
         retry_every_route,
     ),
