--- a/libs/requests/src/bilberryhitch_requests/service.py
+++ b/libs/requests/src/bilberryhitch_requests/service.py
@@ -25,7 +25,7 @@
 from .forwarding import Forwarder, PeerSlots
 from .handles import make_handle
 from .interfaces import ConfigView, MembershipView, PeerCalls
-from .keyed import KeyedRequests
+from .keyed_requests import KeyedRequests
 from .reporting import report_outcome
 from .request_queue import RequestQueue
 from .request_records import MAX_RECORDS, RequestRecord, RequestRecords
--- a/tests/machines/test_point5_requests.py
+++ b/tests/machines/test_point5_requests.py
@@ -1,5 +1,5 @@
 import pytest
-from bilberryhitch_requests import keyed, request_records, request_runner
+from bilberryhitch_requests import keyed_requests, request_records, request_runner
 from expression import Ok
 
 from tests.machines.harness import Counts, Point, run_point
@@ -22,7 +22,7 @@
 
 
 async def claim_nothing(self, call, handle):
-    return Ok(keyed.Claim("none", call.client_account, handle, 1))
+    return Ok(keyed_requests.Claim("none", call.client_account, handle, 1))
 
 
 async def run_unclaimed(self, call, route, record, *run_and_error):
@@ -42,8 +42,12 @@
 RUN = request_runner.RequestRunner.run
 
 REMOVED = {
-    "claim before dispatch": (keyed.Claims, "claim", claim_nothing),
-    "no claim, no run": (keyed.KeyedRequests, "_serve_unclaimed", run_unclaimed),
+    "claim before dispatch": (keyed_requests.Claims, "claim", claim_nothing),
+    "no claim, no run": (
+        keyed_requests.KeyedRequests,
+        "_serve_unclaimed",
+        run_unclaimed,
+    ),
     "a forward is granted once": (
         request_records.RequestRecord,
         "grant_forward",
