--- a/libs/requests/src/bilberryhitch_requests/dispatch.py
+++ b/libs/requests/src/bilberryhitch_requests/dispatch.py
@@ -8,7 +8,7 @@
 from bilberryhitch_model.errors import ExecutorLost, ExecutorNotAccepted
 
 from .executor_client import ExecutorAnswer, ExecutorClient, check_answer
-from .forwarding import Failed
+from .forwarding import AttemptFailure
 from .queue_key import queue_key_of
 from .request_queue import RequestQueue
 from .request_records import RequestRecord
@@ -42,7 +42,7 @@
         route: Route,
         record: RequestRecord,
         queue: RequestQueue,
-    ) -> Outcome | Failed:
+    ) -> Outcome | AttemptFailure:
         """Run one attempt, if :meth:`RequestRecord.grant` allows it.
 
         The slot is released in any case.
@@ -51,7 +51,7 @@
         if not record.grant(record.run or attempt_id):
             queue.refund_estimate(queue_key_of(call, route))
             lease.release()
-            return Failed.NOT_RUN
+            return AttemptFailure.NOT_RUN
         run = record.run
         name = lease.host.name
         loop = asyncio.get_running_loop()
@@ -60,11 +60,11 @@
             answer = await self._call(lease, attempt_id, call, route)
         except ExecutorNotAccepted:
             self._slots.record_failure(name)
-            return Failed.NOT_RUN
+            return AttemptFailure.NOT_RUN
         except ExecutorLost:
             self._slots.record_failure(name)
             record.lose(run)
-            return Failed.LOST
+            return AttemptFailure.LOST
         finally:
             self._charge(call, route, queue, loop.time() - started_s)
             lease.release()
--- a/libs/requests/src/bilberryhitch_requests/forwarded.py
+++ b/libs/requests/src/bilberryhitch_requests/forwarded.py
@@ -7,7 +7,7 @@
 from bilberryhitch_peers import ForwardReply, ForwardRequest
 
 from .dispatch import Dispatcher
-from .forwarding import Failed, Forwarder, new_run_id
+from .forwarding import AttemptFailure, Forwarder, new_run_id
 from .queue_key import queue_key_of
 from .request_queue import NoSlot, QueuedRequest, RequestQueue
 from .request_records import RequestRecord, RequestRecords
@@ -101,11 +101,11 @@
         result = await self._dispatcher.attempt(
             assignment, message.call, route, copy, queue
         )
-        if result is Failed.LOST:
+        if result is AttemptFailure.LOST:
             return Outcome("unknown", detail="executor lost")
         # A refused request returns to its originating host instead of being queued
         # here again: while it holds the grant, that host cannot cancel it.
-        return _EXECUTOR_REFUSED if result is Failed.NOT_RUN else result
+        return _EXECUTOR_REFUSED if result is AttemptFailure.NOT_RUN else result
 
     async def _request_grant(self, sender: str, copy: RequestRecord) -> bool:
         """Ask the originating host for the grant; the slot stays acquired meanwhile."""
--- a/libs/requests/src/bilberryhitch_requests/forwarding.py
+++ b/libs/requests/src/bilberryhitch_requests/forwarding.py
@@ -46,7 +46,7 @@
 GRANTED = "granted"
 
 
-class Failed(Enum):
+class AttemptFailure(Enum):
     """How an attempt failed: it certainly did not run, or its result is lost."""
 
     NOT_RUN = "not run"
@@ -172,7 +172,7 @@
         timeout_s: float,
         *,
         idempotent: bool,
-    ) -> Outcome | Failed:
+    ) -> Outcome | AttemptFailure:
         """Run a request at an owner.
 
         :param wait_s: maximum wait for a slot at the owner
@@ -252,7 +252,9 @@
     return make_run_id(forward_id, new_id())
 
 
-def _judge(record: RequestRecord, host: str, reply: Message | None) -> Outcome | Failed:
+def _judge(
+    record: RequestRecord, host: str, reply: Message | None
+) -> Outcome | AttemptFailure:
     """Return the result of a forward that has ended.
 
     Only the reply of the run that holds the grant counts. If no grant was given,
@@ -260,14 +262,14 @@
     """
     run = record.run
     if not run:
-        return Failed.NOT_RUN
+        return AttemptFailure.NOT_RUN
     if not isinstance(reply, ForwardReply) or reply.handle != run:
         record.lose(run, host)
-        return Failed.LOST
+        return AttemptFailure.LOST
     if reply.outcome.status == "not_run":
         record.record_not_run(run)
-        return Failed.NOT_RUN
+        return AttemptFailure.NOT_RUN
     if reply.outcome.status == "unknown":
         record.lose(run, host)
-        return Failed.LOST
+        return AttemptFailure.LOST
     return reply.outcome
--- a/libs/requests/src/bilberryhitch_requests/request_runner.py
+++ b/libs/requests/src/bilberryhitch_requests/request_runner.py
@@ -7,7 +7,7 @@
 from bilberryhitch_model import Outcome, Pool, RequestCall, Route
 
 from .dispatch import Dispatcher
-from .forwarding import Failed, Forwarder, PeerSlots
+from .forwarding import AttemptFailure, Forwarder, PeerSlots
 from .interfaces import ConfigView
 from .queue_key import queue_key_of
 from .reporting import report_retry
@@ -66,7 +66,7 @@
             )
             if isinstance(result, Outcome):
                 return result
-            if result is Failed.NOT_RUN:
+            if result is AttemptFailure.NOT_RUN:
                 await asyncio.sleep(self._rng.uniform(0.0, MAX_REQUEUE_DELAY_S))
                 continue
             failures += 1
@@ -85,14 +85,14 @@
         queue: RequestQueue,
         *,
         until_s: float,
-    ) -> Outcome | Failed:
+    ) -> Outcome | AttemptFailure:
         if isinstance(assignment, PeerTarget):
             wait_s = max(0.0, until_s - asyncio.get_running_loop().time())
             return await self._attempt_at_peer(
                 assignment, call, route, record, queue, wait_s=wait_s
             )
         result = await self._dispatcher.attempt(assignment, call, route, record, queue)
-        if result is Failed.NOT_RUN:
+        if result is AttemptFailure.NOT_RUN:
             record.record_not_run(record.run)
         return result
 
@@ -105,7 +105,7 @@
         queue: RequestQueue,
         *,
         wait_s: float,
-    ) -> Outcome | Failed:
+    ) -> Outcome | AttemptFailure:
         try:
             result = await self._forwarder.forward(
                 assignment.host,
@@ -120,7 +120,7 @@
                 route.pool, assignment.host, queue_key_of(call, route)
             )
             queue.assign_slots()
-        if result is Failed.NOT_RUN:
+        if result is AttemptFailure.NOT_RUN:
             self._peer_slots.record_refusal(route.pool, assignment.host)
         return result
 
--- a/tests/machines/test_point3_answers.py
+++ b/tests/machines/test_point3_answers.py
@@ -25,7 +25,7 @@
 def trust_any_reply(record, host, reply):
     if isinstance(reply, ForwardReply) and reply.outcome.status == "completed":
         return reply.outcome
-    return forwarding.Failed.NOT_RUN
+    return forwarding.AttemptFailure.NOT_RUN
 
 
 @pytest.mark.parametrize(
