--- a/libs/requests/src/bilberryhitch_requests/forwarding.py
+++ b/libs/requests/src/bilberryhitch_requests/forwarding.py
@@ -195,7 +195,7 @@
             record.end_forward()
         reply = task.result() if task.done() else None
         task.cancel()
-        return _judge(record, host, reply)
+        return _forward_result(record, host, reply)
 
     async def request_grant(self, host: str, run: str, client_account: str) -> bool:
         """Ask the originating entry host for a grant; return whether it was given."""
@@ -252,7 +252,7 @@
     return make_run_id(forward_id, new_id())
 
 
-def _judge(
+def _forward_result(
     record: RequestRecord, host: str, reply: Message | None
 ) -> Outcome | AttemptFailure:
     """Return the result of a forward that has ended.
--- a/tests/machines/test_point3_answers.py
+++ b/tests/machines/test_point3_answers.py
@@ -32,7 +32,7 @@
     ("module", "name", "removed"),
     [
         (dispatch, "check_answer", lambda answer, *_: answer),
-        (forwarding, "_judge", trust_any_reply),
+        (forwarding, "_forward_result", trust_any_reply),
     ],
 )
 def test_removed_mechanism_is_noticed(monkeypatch, module, name, removed):
