--- a/tests/machines/test_point4_not_run.py
+++ b/tests/machines/test_point4_not_run.py
@@ -41,7 +41,9 @@
     "a forward is granted once": (
         (request_records.RequestRecord, "grant_forward", grant_every_copy),
     ),
-    "a lost attempt may have run": ((request_records.RequestRecord, "lose", forget_lost),),
+    "a lost attempt may have run": (
+        (request_records.RequestRecord, "lose", forget_lost),
+    ),
     "only the 503 is a refusal": (
         (dispatch, "ExecutorNotAccepted", (dispatch.ExecutorNotAccepted,
                                            dispatch.ExecutorLost)),
