--- a/libs/requests/src/bilberryhitch_requests/dispatch.py
+++ b/libs/requests/src/bilberryhitch_requests/dispatch.py
@@ -63,7 +63,7 @@
             return AttemptFailure.NOT_RUN
         except ExecutorLost:
             self._slots.record_failure(name)
-            record.lose(run)
+            record.record_lost(run)
             return AttemptFailure.LOST
         finally:
             self._charge(call, route, queue, loop.time() - started_s)
--- a/libs/requests/src/bilberryhitch_requests/forwarding.py
+++ b/libs/requests/src/bilberryhitch_requests/forwarding.py
@@ -264,12 +264,12 @@
     if not run:
         return AttemptFailure.NOT_RUN
     if not isinstance(reply, ForwardReply) or reply.handle != run:
-        record.lose(run, host)
+        record.record_lost(run, host)
         return AttemptFailure.LOST
     if reply.outcome.status == "not_run":
         record.record_not_run(run)
         return AttemptFailure.NOT_RUN
     if reply.outcome.status == "unknown":
-        record.lose(run, host)
+        record.record_lost(run, host)
         return AttemptFailure.LOST
     return reply.outcome
--- a/libs/requests/src/bilberryhitch_requests/request_records.py
+++ b/libs/requests/src/bilberryhitch_requests/request_records.py
@@ -89,7 +89,7 @@
         if self.run == run:
             self.run = ""
 
-    def lose(self, run: str, host: str = "") -> None:
+    def record_lost(self, run: str, host: str = "") -> None:
         """Record that the result of the granted run was lost; frees the grant.
 
         :param host: entry host that may know the outcome later; empty if this one
--- a/libs/requests/tests/test_request_records.py
+++ b/libs/requests/tests/test_request_records.py
@@ -22,7 +22,7 @@
 def test_outcome_after_a_lost_run_is_unknown():
     record = RequestRecord("h", "acme")
     record.grant("a")
-    record.lose("a")
+    record.record_lost("a")
     record.close("timed out")
     assert record.current_outcome().status == "unknown"
 
--- a/tests/machines/test_point4_not_run.py
+++ b/tests/machines/test_point4_not_run.py
@@ -42,7 +42,7 @@
         (request_records.RequestRecord, "grant_forward", grant_every_copy),
     ),
     "a lost attempt may have run": (
-        (request_records.RequestRecord, "lose", forget_lost),
+        (request_records.RequestRecord, "record_lost", forget_lost),
     ),
     "only the 503 is a refusal": (
         (dispatch, "ExecutorNotAccepted", (dispatch.ExecutorNotAccepted,
