--- a/libs/requests/src/bilberryhitch_requests/dispatch.py
+++ b/libs/requests/src/bilberryhitch_requests/dispatch.py
@@ -48,11 +48,11 @@
         The slot is released in any case.
         """
         attempt_id = self._new_id()
-        if not record.grant(record.run or attempt_id):
+        if not record.grant(record.run_id or attempt_id):
             queue.refund_estimate(queue_key_of(call, route))
             lease.release()
             return AttemptFailure.NOT_RUN
-        run = record.run
+        run_id = record.run_id
         name = lease.host.name
         loop = asyncio.get_running_loop()
         started_s = loop.time()
@@ -63,7 +63,7 @@
             return AttemptFailure.NOT_RUN
         except ExecutorLost:
             self._slots.record_failure(name)
-            record.record_lost(run)
+            record.record_lost(run_id)
             return AttemptFailure.LOST
         finally:
             self._charge(call, route, queue, loop.time() - started_s)
--- a/libs/requests/src/bilberryhitch_requests/forwarded.py
+++ b/libs/requests/src/bilberryhitch_requests/forwarded.py
@@ -67,12 +67,18 @@
                 self._serving_count -= 1
                 copy.close("internal failure")
         await copy.done.wait()
-        return ForwardReply(copy.run or forward_id, copy.current_outcome())
+        return ForwardReply(copy.run_id or forward_id, copy.current_outcome())
 
-    def status(self, run: str, forward_id: str, client_account: str) -> Outcome | None:
+    def status(
+        self, run_id: str, forward_id: str, client_account: str
+    ) -> Outcome | None:
         """Return the outcome of a run, or ``None`` if it is not known."""
         copy = self._copies.get(forward_id)
-        if copy is None or copy.run != run or copy.client_account != client_account:
+        if (
+            copy is None
+            or copy.run_id != run_id
+            or copy.client_account != client_account
+        ):
             return None
         return copy.outcome
 
@@ -109,9 +115,9 @@
 
     async def _request_grant(self, sender: str, copy: RequestRecord) -> bool:
         """Ask the originating host for the grant; the slot stays acquired meanwhile."""
-        run = new_run_id(copy.handle, self._new_id)
-        copy.run = run
-        return await self._forwarder.request_grant(sender, run, copy.client_account)
+        run_id = new_run_id(copy.handle, self._new_id)
+        copy.run_id = run_id
+        return await self._forwarder.request_grant(sender, run_id, copy.client_account)
 
 
 def _not_run(assignment: object) -> Outcome:
--- a/libs/requests/src/bilberryhitch_requests/forwarding.py
+++ b/libs/requests/src/bilberryhitch_requests/forwarding.py
@@ -187,9 +187,9 @@
         try:
             while not task.done():
                 await asyncio.wait({task}, timeout=LIVENESS_CHECK_INTERVAL_S)
-                if not record.run and self._should_cancel(host, record):
+                if not record.run_id and self._should_cancel(host, record):
                     break
-                if record.run and idempotent and self._has_failed(host):
+                if record.run_id and idempotent and self._has_failed(host):
                     break
         finally:
             record.end_forward()
@@ -197,13 +197,13 @@
         task.cancel()
         return _forward_result(record, host, reply)
 
-    async def request_grant(self, host: str, run: str, client_account: str) -> bool:
+    async def request_grant(self, host: str, run_id: str, client_account: str) -> bool:
         """Ask the originating entry host for a grant; return whether it was given."""
-        ask = RequestStatusAsk(run, client_account)
+        ask = RequestStatusAsk(run_id, client_account)
         reply = await self._call(host, ask, PEER_QUERY_TIMEOUT_S)
         return (
             isinstance(reply, RequestStatusReply)
-            and reply.handle == run
+            and reply.handle == run_id
             and reply.outcome is not None
             and reply.outcome.detail == GRANTED
         )
@@ -239,10 +239,10 @@
 
 
 def answer_grant_request(
-    record: RequestRecord, forward_id: str, run: str, host: str
+    record: RequestRecord, forward_id: str, run_id: str, host: str
 ) -> Outcome:
     """Return the reply to an owner's grant request."""
-    if record.grant_forward(forward_id, run, host):
+    if record.grant_forward(forward_id, run_id, host):
         return Outcome("unknown", detail=GRANTED)
     return Outcome("not_run", detail="no longer to be run")
 
@@ -260,16 +260,16 @@
     Only the reply of the run that holds the grant counts. If no grant was given,
     nothing ran, whatever the reply says.
     """
-    run = record.run
-    if not run:
+    run_id = record.run_id
+    if not run_id:
         return AttemptFailure.NOT_RUN
-    if not isinstance(reply, ForwardReply) or reply.handle != run:
-        record.record_lost(run, host)
+    if not isinstance(reply, ForwardReply) or reply.handle != run_id:
+        record.record_lost(run_id, host)
         return AttemptFailure.LOST
     if reply.outcome.status == "not_run":
-        record.record_not_run(run)
+        record.record_not_run(run_id)
         return AttemptFailure.NOT_RUN
     if reply.outcome.status == "unknown":
-        record.record_lost(run, host)
+        record.record_lost(run_id, host)
         return AttemptFailure.LOST
     return reply.outcome
--- a/libs/requests/src/bilberryhitch_requests/handles.py
+++ b/libs/requests/src/bilberryhitch_requests/handles.py
@@ -63,8 +63,8 @@
     return f"{forward_id}{FORWARD_SEPARATOR}{nonce}"
 
 
-def split_run_id(run: str) -> tuple[str, str]:
+def split_run_id(run_id: str) -> tuple[str, str]:
     """Return the handle and the forward id of a run id, or two empty strings."""
-    forward_id, _, nonce = run.rpartition(FORWARD_SEPARATOR)
+    forward_id, _, nonce = run_id.rpartition(FORWARD_SEPARATOR)
     handle, _, number = forward_id.rpartition(FORWARD_SEPARATOR)
     return (handle, forward_id) if nonce and number else ("", "")
--- a/libs/requests/src/bilberryhitch_requests/request_records.py
+++ b/libs/requests/src/bilberryhitch_requests/request_records.py
@@ -24,7 +24,7 @@
 
     :ivar done: set once there is an outcome or an error
     :ivar may_have_run: whether the result of a run was lost
-    :ivar run: id of the granted run, or empty
+    :ivar run_id: id of the granted run, or empty
     :ivar closed: whether further runs are forbidden
     :ivar error: why the input was rejected; there is no outcome then
     :ivar lost_run: entry host and id of a forwarded run whose result was lost
@@ -38,7 +38,7 @@
         self.done = asyncio.Event()
         self.outcome: Outcome | None = None
         self.may_have_run = False
-        self.run = ""
+        self.run_id = ""
         self.closed = False
         self.error: BadInput | None = None
         self.lost_run: tuple[str, str] | None = None
@@ -52,16 +52,16 @@
         """Whether the outcome is final."""
         return self.outcome is not None and self.outcome.status != "unknown"
 
-    def grant(self, run: str) -> bool:
+    def grant(self, run_id: str) -> bool:
         """Grant a run unless another one holds the grant or the record is closed.
 
         :returns: whether the run holds the grant and may proceed
         """
-        if self.run == run:
+        if self.run_id == run_id:
             return not self.is_final
-        if self.run or self.closed or self.outcome is not None:
+        if self.run_id or self.closed or self.outcome is not None:
             return False
-        self.run = run
+        self.run_id = run_id
         return True
 
     def open_forward(self, host: str) -> str:
@@ -76,30 +76,30 @@
         )
         return self._current_forward[0]
 
-    def grant_forward(self, forward_id: str, run: str, host: str) -> bool:
+    def grant_forward(self, forward_id: str, run_id: str, host: str) -> bool:
         """Grant a run of the current forward at its owner."""
-        return self._current_forward == (forward_id, host) and self.grant(run)
+        return self._current_forward == (forward_id, host) and self.grant(run_id)
 
     def end_forward(self) -> None:
         """End the current forward, so that none of its runs can get a grant."""
         self._current_forward = ("", "")
 
-    def record_not_run(self, run: str) -> None:
+    def record_not_run(self, run_id: str) -> None:
         """Record that the granted run did not take place; frees the grant."""
-        if self.run == run:
-            self.run = ""
+        if self.run_id == run_id:
+            self.run_id = ""
 
-    def record_lost(self, run: str, host: str = "") -> None:
+    def record_lost(self, run_id: str, host: str = "") -> None:
         """Record that the result of the granted run was lost; frees the grant.
 
         :param host: entry host that may know the outcome later; empty if this one
         """
-        if not run or self.run != run:
+        if not run_id or self.run_id != run_id:
             return
-        self.run = ""
+        self.run_id = ""
         self.may_have_run = True
         if host:
-            self.lost_run = (host, run)
+            self.lost_run = (host, run_id)
 
     def reject(self, error: BadInput) -> None:
         """End the request because its input is invalid."""
@@ -112,7 +112,7 @@
         self.closed = True
         if self.on_close is not None:
             self.on_close()
-        if self.run or self.outcome is not None or self.error is not None:
+        if self.run_id or self.outcome is not None or self.error is not None:
             return
         self.finish(self.outcome_without_answer(reason, retry_after_s))
 
--- a/libs/requests/src/bilberryhitch_requests/request_runner.py
+++ b/libs/requests/src/bilberryhitch_requests/request_runner.py
@@ -93,7 +93,7 @@
             )
         result = await self._dispatcher.attempt(assignment, call, route, record, queue)
         if result is AttemptFailure.NOT_RUN:
-            record.record_not_run(record.run)
+            record.record_not_run(record.run_id)
         return result
 
     async def _attempt_at_peer(
--- a/libs/requests/src/bilberryhitch_requests/service.py
+++ b/libs/requests/src/bilberryhitch_requests/service.py
@@ -250,7 +250,7 @@
         finally:
             # The record is still open only after an unexpected exception.
             if record.outcome is None:
-                record.record_lost(record.run)
+                record.record_lost(record.run_id)
                 record.close("internal failure")
 
     async def _handle_forward(
--- a/libs/requests/src/bilberryhitch_requests/status_lookup.py
+++ b/libs/requests/src/bilberryhitch_requests/status_lookup.py
@@ -96,8 +96,8 @@
         if record is None or record.client_account != client_account:
             return None
         if not record.is_final and record.lost_run is not None:
-            host, run = record.lost_run
-            found = await self._forwarder.query_status(host, run, client_account)
+            host, run_id = record.lost_run
+            found = await self._forwarder.query_status(host, run_id, client_account)
             if found is not None and found.status in ("completed", "failed"):
                 record.finish(found)
         return record.current_outcome()
--- a/tests/machines/test_point4_not_run.py
+++ b/tests/machines/test_point4_not_run.py
@@ -20,18 +20,18 @@
     assert POINT.counts.faults > 0
 
 
-def grant_after_close(self, run):
-    self.run = self.run or run
+def grant_after_close(self, run_id):
+    self.run_id = self.run_id or run_id
     return True
 
 
-def grant_every_copy(self, forward, run, host):
-    self.run = run
+def grant_every_run(self, forward_id, run_id, host):
+    self.run_id = run_id
     return True
 
 
-def forget_lost(self, run, host=""):
-    self.run = ""
+def forget_lost(self, run_id, host=""):
+    self.run_id = ""
 
 
 REMOVED = {
@@ -39,7 +39,7 @@
         (request_records.RequestRecord, "grant", grant_after_close),
     ),
     "a forward is granted once": (
-        (request_records.RequestRecord, "grant_forward", grant_every_copy),
+        (request_records.RequestRecord, "grant_forward", grant_every_run),
     ),
     "a lost attempt may have run": (
         (request_records.RequestRecord, "record_lost", forget_lost),
--- a/tests/machines/test_point5_requests.py
+++ b/tests/machines/test_point5_requests.py
@@ -30,8 +30,8 @@
     record.finish(await run())
 
 
-def grant_every_copy(self, forward, run, host):
-    self.run = run
+def grant_every_run(self, forward_id, run_id, host):
+    self.run_id = run_id
     return True
 
 
@@ -51,7 +51,7 @@
     "a forward is granted once": (
         request_records.RequestRecord,
         "grant_forward",
-        grant_every_copy,
+        grant_every_run,
     ),
     "only idempotent routes are retried": (
         request_runner.RequestRunner,
