--- a/libs/requests/src/bilberryhitch_requests/service.py
+++ b/libs/requests/src/bilberryhitch_requests/service.py
@@ -201,7 +201,7 @@
         """
         return dict(self._dispatcher.usage)
 
-    def hear_free_slots(self, host: str, free_slots: dict[str, int]) -> None:
+    def receive_free_slots(self, host: str, free_slots: dict[str, int]) -> None:
         """Store the free slots by pool from a peer's heartbeat."""
         if host == self._identity.host:
             return
--- a/measure/request_cluster.py
+++ b/measure/request_cluster.py
@@ -133,7 +133,7 @@
         while True:
             for sender, service in self._services.items():
                 for receiver in self._services.values():
-                    receiver.hear_free_slots(sender, service.free_slots())
+                    receiver.receive_free_slots(sender, service.free_slots())
                     receiver.hear_usage(sender, service.usage())
             await asyncio.sleep(HEARTBEAT_S)
 
--- a/tests/machines/request_world.py
+++ b/tests/machines/request_world.py
@@ -246,7 +246,7 @@
                     cut = frozenset((sender.name, other.name)) in self.cuts
                     if cut or not (sender.gate.is_set() and other.gate.is_set()):
                         continue
-                    other.service.hear_free_slots(
+                    other.service.receive_free_slots(
                         sender.name, sender.service.free_slots()
                     )
                     other.service.hear_usage(sender.name, sender.service.usage())
