--- a/libs/app/src/bilberryhitch/message_routing.py
+++ b/libs/app/src/bilberryhitch/message_routing.py
@@ -87,4 +87,4 @@
     services.membership.hear(heartbeat)
     services.config.hear_revision(heartbeat.host, heartbeat.config_revision)
     services.requests.receive_free_slots(heartbeat.host, heartbeat.free_slots)
-    services.requests.hear_usage(heartbeat.host, heartbeat.usage)
+    services.requests.receive_usage(heartbeat.host, heartbeat.usage)
--- a/libs/requests/src/bilberryhitch_requests/service.py
+++ b/libs/requests/src/bilberryhitch_requests/service.py
@@ -208,7 +208,7 @@
         self._peer_slots.update(host, free_slots)
         self._assign_slots()
 
-    def hear_usage(self, host: str, usage: dict[str, float]) -> None:
+    def receive_usage(self, host: str, usage: dict[str, float]) -> None:
         """Charge the usage reported in a peer's heartbeat.
 
         :param usage: total slot seconds by ``<pool>/<client account>``; totals that
--- a/libs/requests/tests/test_service.py
+++ b/libs/requests/tests/test_service.py
@@ -141,9 +141,9 @@
     charged = []
     queue = service._queue_for(service._config.tables_view.pools["p"])
     queue.charge_remote = lambda account, cost_s: charged.append((account, cost_s))
-    service.hear_usage("e2", {"p/acme": 10.0})
-    service.hear_usage("e2", {"p/else": 1.0})
-    service.hear_usage("e2", {"p/acme": 12.0})
+    service.receive_usage("e2", {"p/acme": 10.0})
+    service.receive_usage("e2", {"p/else": 1.0})
+    service.receive_usage("e2", {"p/acme": 12.0})
     assert charged == [("acme", 10.0), ("else", 1.0), ("acme", 2.0)]
 
 
--- a/measure/request_cluster.py
+++ b/measure/request_cluster.py
@@ -134,7 +134,7 @@
             for sender, service in self._services.items():
                 for receiver in self._services.values():
                     receiver.receive_free_slots(sender, service.free_slots())
-                    receiver.hear_usage(sender, service.usage())
+                    receiver.receive_usage(sender, service.usage())
             await asyncio.sleep(HEARTBEAT_S)
 
 
--- a/tests/machines/request_world.py
+++ b/tests/machines/request_world.py
@@ -249,7 +249,7 @@
                     other.service.receive_free_slots(
                         sender.name, sender.service.free_slots()
                     )
-                    other.service.hear_usage(sender.name, sender.service.usage())
+                    other.service.receive_usage(sender.name, sender.service.usage())
             await asyncio.sleep(0.5)
 
     def heal(self):
