--- a/libs/app/src/bilberryhitch/message_routing.py
+++ b/libs/app/src/bilberryhitch/message_routing.py
@@ -58,7 +58,7 @@
             _hear_heartbeat(services, message)
             return None
         if isinstance(message, DrainNotice):
-            services.membership.hear_drain(message)
+            services.membership.receive_drain_notice(message)
             return None
         if isinstance(message, HostListAsk):
             _send_host_list(services, sender)
--- a/libs/membership/src/bilberryhitch_membership/membership.py
+++ b/libs/membership/src/bilberryhitch_membership/membership.py
@@ -120,7 +120,7 @@
             self._learn(notice)
         self._catch_up(heartbeat)
 
-    def hear_drain(self, notice: DrainNotice) -> None:
+    def receive_drain_notice(self, notice: DrainNotice) -> None:
         """Take a peer's notice that a host is leaving or its drain was undone."""
         self._learn(notice)
 
--- a/libs/membership/tests/test_membership.py
+++ b/libs/membership/tests/test_membership.py
@@ -44,7 +44,7 @@
         if isinstance(message, Heartbeat):
             self.members[host].hear(message)
         else:
-            self.members[host].hear_drain(message)
+            self.members[host].receive_drain_notice(message)
         return True
 
     async def __aenter__(self):
@@ -122,11 +122,11 @@
     # Guards against a late drain notice that overrules a later undrain.
     async with Cluster() as cluster:
         member = cluster.members["e1"]
-        member.hear_drain(DrainNotice("w1", False, 9))
-        member.hear_drain(DrainNotice("w1", True, 8))
+        member.receive_drain_notice(DrainNotice("w1", False, 9))
+        member.receive_drain_notice(DrainNotice("w1", True, 8))
         assert not member.is_leaving("w1")
         before = len(cluster.messages)
-        member.hear_drain(DrainNotice("w1", True, 8))
+        member.receive_drain_notice(DrainNotice("w1", True, 8))
         assert len(cluster.messages) == before
 
 
--- a/measure/control_cost.py
+++ b/measure/control_cost.py
@@ -74,7 +74,7 @@
         if isinstance(message, Heartbeat):
             self.membership.hear(message)
         elif isinstance(message, DrainNotice):
-            self.membership.hear_drain(message)
+            self.membership.receive_drain_notice(message)
         return None
 
 
--- a/tests/machines/world_point6_leaving.py
+++ b/tests/machines/world_point6_leaving.py
@@ -285,7 +285,7 @@
         elif isinstance(message, HostListReply):
             membership.hear_host_list(message)
         else:
-            membership.hear_drain(message)
+            membership.receive_drain_notice(message)
 
     def _host(self, name):
         kind, data_centre = ENDPOINTS.get(name) or ("entry", ENTRIES[name])
