--- a/libs/app/src/bilberryhitch/message_routing.py
+++ b/libs/app/src/bilberryhitch/message_routing.py
@@ -64,7 +64,7 @@
             _send_host_list(services, sender)
             return None
         if isinstance(message, HostListReply):
-            services.membership.hear_host_list(message)
+            services.membership.receive_host_list(message)
             return None
         if isinstance(message, ConfigOffer | ConfigAsk):
             return await services.config.handle(sender, message)
--- a/libs/membership/src/bilberryhitch_membership/membership.py
+++ b/libs/membership/src/bilberryhitch_membership/membership.py
@@ -130,7 +130,7 @@
             return None
         return HostListReply(list(self._listed.values()))
 
-    def hear_host_list(self, reply: HostListReply) -> None:
+    def receive_host_list(self, reply: HostListReply) -> None:
         """Take a peer's host list unless this process has read its own."""
         if not self._list_applied:
             self._apply_list(reply.hosts)
--- a/tests/machines/world_point6_leaving.py
+++ b/tests/machines/world_point6_leaving.py
@@ -283,7 +283,7 @@
             if reply is not None:
                 self._transmit(receiver, sender, reply)
         elif isinstance(message, HostListReply):
-            membership.hear_host_list(message)
+            membership.receive_host_list(message)
         else:
             membership.receive_drain_notice(message)
 
