--- a/libs/membership/src/bilberryhitch_membership/entry_hosts.py
+++ b/libs/membership/src/bilberryhitch_membership/entry_hosts.py
@@ -26,7 +26,7 @@
         self._listed: dict[str, str] = {}
         self._heard: dict[str, tuple[str, float]] = {}
 
-    def hear(self, heartbeat: Heartbeat, now_s: float) -> None:
+    def record_heartbeat(self, heartbeat: Heartbeat, now_s: float) -> None:
         """Note a sign of life."""
         self._heard[heartbeat.host] = (heartbeat.data_centre, now_s)
 
--- a/libs/membership/src/bilberryhitch_membership/membership.py
+++ b/libs/membership/src/bilberryhitch_membership/membership.py
@@ -106,7 +106,7 @@
         for poller in self._pollers:
             await poller.close()
 
-    def hear(self, heartbeat: Heartbeat) -> None:
+    def receive_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take a heartbeat of a peer."""
         host = heartbeat.host
         if host == self._identity.host:
@@ -114,7 +114,7 @@
         now_s = self._time_s()
         if not self._leaving.observe_run(host, heartbeat.incarnation, now_s):
             return  # late message of an earlier run
-        self._entry.hear(heartbeat, now_s)
+        self._entry.record_heartbeat(heartbeat, now_s)
         if heartbeat.leaving:
             notice = DrainNotice(host, True, 0, incarnation=heartbeat.incarnation)
             self._learn(notice)
--- a/libs/membership/tests/test_membership.py
+++ b/libs/membership/tests/test_membership.py
@@ -42,7 +42,7 @@
     def deliver(self, host, message):
         self.messages.append(message)
         if isinstance(message, Heartbeat):
-            self.members[host].hear(message)
+            self.members[host].receive_heartbeat(message)
         else:
             self.members[host].receive_drain_notice(message)
         return True
@@ -181,11 +181,13 @@
         old = Heartbeat("e2", "ruwi", "e2-i1", False, 0)
         cluster.members["e2"].leave()
         assert cluster.members["e1"].entry_hosts("ruwi") == ["e1", "e3"]
-        cluster.members["e1"].hear(old)
+        cluster.members["e1"].receive_heartbeat(old)
         assert cluster.members["e1"].is_leaving("e2")
-        cluster.members["e1"].hear(Heartbeat("e2", "ruwi", "e2-i2", False, 0))
+        cluster.members["e1"].receive_heartbeat(
+            Heartbeat("e2", "ruwi", "e2-i2", False, 0)
+        )
         assert not cluster.members["e1"].is_leaving("e2")
-        cluster.members["e1"].hear(old)
+        cluster.members["e1"].receive_heartbeat(old)
         assert not cluster.members["e1"].is_leaving("e2")
 
 
@@ -213,7 +215,7 @@
     for name in here:
         entry = EntryHosts(Identity(name, "a", "i"), peers, 0.0)
         for other in here:
-            entry.hear(Heartbeat(other, "a", "i", False, 0), 5.0)
+            entry.record_heartbeat(Heartbeat(other, "a", "i", False, 0), 5.0)
         targets = entry.fan_out(5.0)
         assert set(here) - {name} < set(targets)
         remote = [target for target in targets if target in there]
--- a/measure/control_cost.py
+++ b/measure/control_cost.py
@@ -72,7 +72,7 @@
 
     async def _handle(self, sender: str, message: Message) -> Message | None:
         if isinstance(message, Heartbeat):
-            self.membership.hear(message)
+            self.membership.receive_heartbeat(message)
         elif isinstance(message, DrainNotice):
             self.membership.receive_drain_notice(message)
         return None
--- a/tests/machines/world_point6_leaving.py
+++ b/tests/machines/world_point6_leaving.py
@@ -277,7 +277,7 @@
             return
         membership = self.processes[receiver].membership
         if isinstance(message, Heartbeat):
-            membership.hear(message)
+            membership.receive_heartbeat(message)
         elif isinstance(message, HostListAsk):
             reply = membership.answer_host_list()
             if reply is not None:
