--- a/libs/platform/src/bilberryhitch_platform/__init__.py
+++ b/libs/platform/src/bilberryhitch_platform/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of the platform: table service, object store and host list."""
+"""Interfaces and clients of the platform: table service, object store, host list."""
 
 from .commit import abandon, commit
 from .http_client import PlatformClient
--- a/libs/platform/src/bilberryhitch_platform/commit.py
+++ b/libs/platform/src/bilberryhitch_platform/commit.py
@@ -1,4 +1,4 @@
-"""Transactions whose lost answers are resolved instead of guessed."""
+"""Transactions that are applied at most once, also if responses are lost."""
 
 import asyncio
 from collections.abc import Sequence
@@ -26,32 +26,33 @@
     *,
     max_attempts: int = 3,
 ) -> Result[int, StoreConflict]:
-    """Apply a transaction at most once, resolving lost answers.
+    """Apply a transaction at most once; retry it after a lost response.
 
-    The transaction also writes a row under ``operation_id``, so sending it
-    again cannot apply it twice.
+    The transaction also writes a row under ``operation_id``, so that a retry
+    cannot apply it twice.
 
-    :param max_attempts: how often the transaction is sent before giving up
-    :returns: the revision, or the conflict that refused it
-    :raises StoreUnavailable: it was never applied and never will be
+    :param operation_id: unique identifier of the transaction
+    :param max_attempts: how often the transaction is sent at most
+    :returns: the new revision, or the conflict that prevented the transaction
+    :raises StoreUnavailable: it was not applied and never will be
     :raises StoreAnswerLost: it may have been applied; see :func:`abandon`
     """
     key = OPERATIONS_PREFIX + operation_id
     all_expects = (*expects, Expect(key, 0))
     all_writes = (*writes, Put(key, APPLIED))
-    uncertain = False
+    outcome_unknown = False
     for attempt in range(max_attempts):
         if attempt:
             await asyncio.sleep(RETRY_DELAY_S * attempt)
         try:
             result = await tables.transact(all_expects, all_writes)
-            if result.is_ok() or not uncertain:
+            if result.is_ok() or not outcome_unknown:
                 return result
             return await _resolve_conflict(tables, key, result)
         except StoreAnswerLost:
-            uncertain = True
+            outcome_unknown = True
         except StoreUnavailable:
-            if not uncertain and attempt == max_attempts - 1:
+            if not outcome_unknown and attempt == max_attempts - 1:
                 raise
     raise StoreAnswerLost(operation_id)
 
@@ -59,7 +60,7 @@
 async def _resolve_conflict(
     tables: TableService, key: str, conflict: Result[int, StoreConflict]
 ) -> Result[int, StoreConflict]:
-    """Tell a conflict with an earlier send of ours from one with others."""
+    """Distinguish a conflict with an earlier attempt from one with another writer."""
     row = await tables.get(key)
     if row is not None and row.value == APPLIED:
         return Ok(row.revision)
@@ -67,11 +68,11 @@
 
 
 async def abandon(tables: TableService, operation_id: str) -> Result[None, Row]:
-    """Make sure that a transaction whose answer was lost never applies.
+    """Prevent a transaction whose response was lost from being applied later.
 
-    :returns: ``Ok`` when it never will, or the operation row when it did apply
-    :raises StoreUnavailable: nothing is known yet
-    :raises StoreAnswerLost: nothing is known yet
+    :returns: ``Ok`` if it will never be applied, or the operation row if it was
+    :raises StoreUnavailable: it is still unknown whether the transaction applies
+    :raises StoreAnswerLost: it is still unknown whether the transaction applies
     """
     key = OPERATIONS_PREFIX + operation_id
     result = await tables.transact([Expect(key, 0)], [Put(key, ABANDONED)])
--- a/libs/platform/src/bilberryhitch_platform/interfaces.py
+++ b/libs/platform/src/bilberryhitch_platform/interfaces.py
@@ -1,4 +1,4 @@
-"""What the system needs of the platform."""
+"""Interfaces of the platform's services and the records that they exchange."""
 
 from collections.abc import Sequence
 from typing import NamedTuple, Protocol
@@ -9,7 +9,7 @@
 
 
 class Row(NamedTuple):
-    """A row; ``revision`` is the store-wide revision that wrote it."""
+    """A row; ``revision`` is the revision of the store that wrote it."""
 
     key: str
     value: bytes
@@ -17,21 +17,21 @@
 
 
 class Expect(NamedTuple):
-    """Condition of a transaction; revision 0 means that the row is absent."""
+    """Precondition of a transaction: the revision of a row, or 0 if it is absent."""
 
     key: str
     revision: int
 
 
 class Put(NamedTuple):
-    """Write of a row."""
+    """Creates or replaces a row."""
 
     key: str
     value: bytes
 
 
 class Delete(NamedTuple):
-    """Removal of a row."""
+    """Deletes a row."""
 
     key: str
 
@@ -42,8 +42,8 @@
 class Page(NamedTuple):
     """One page of a scan.
 
-    :param revision: store revision at which the page was read
-    :param more: whether rows after the last one remain
+    :param revision: revision of the store at which the page was read
+    :param more: whether the scan has rows after the last one of the page
     """
 
     rows: tuple[Row, ...]
@@ -65,33 +65,34 @@
     async def scan(
         self, prefix: str, since: int = 0, after: str = "", limit: int = 1000
     ) -> Page:
-        """Return rows under ``prefix`` written after revision ``since``.
+        """Return rows under ``prefix`` in order of keys, one page at a time.
 
+        :param since: only rows written after this revision
         :param after: only keys greater than this one
-        :param limit: most rows of a page
+        :param limit: maximum number of rows of a page
         """
 
     async def transact(
         self, expects: Sequence[Expect], writes: Sequence[Write]
     ) -> Result[int, StoreConflict]:
-        """Apply all writes at one new revision, or none.
+        """Apply all writes atomically at one new revision.
 
         :returns: the new revision, or the first condition that failed
         """
 
 
 class ObjectStore(Protocol):
-    """The object store, for large answers and checkpoints."""
+    """The object store, for large responses and checkpoints."""
 
     async def put_object(self, key: str, body: bytes) -> None:
-        """Store an object under ``key``, replacing any other."""
+        """Create or replace an object."""
 
     async def get_object(self, key: str) -> bytes | None:
         """Return the object or ``None``."""
 
 
 class HostList(Protocol):
-    """The platform's list of live and leaving hosts; it lags."""
+    """The platform's list of live and leaving hosts; changes reach it with a delay."""
 
     async def list_hosts(self) -> list[Host]:
-        """Return every host that the platform knows."""
+        """Return all hosts of the list."""
--- a/libs/platform/src/bilberryhitch_platform/memory.py
+++ b/libs/platform/src/bilberryhitch_platform/memory.py
@@ -1,4 +1,4 @@
-"""An in-memory platform, used by the stand-in, the demo and tests."""
+"""In-memory implementations of the platform's services, for tests and the demo."""
 
 from collections.abc import Sequence
 
@@ -11,7 +11,7 @@
 
 
 class MemoryTables:
-    """Table service held in memory: sorted keys, one revision counter."""
+    """In-memory table service with sorted keys and one revision counter."""
 
     def __init__(self) -> None:
         self._rows: SortedDict[str, Row] = SortedDict()
@@ -30,10 +30,10 @@
     async def scan(
         self, prefix: str, since: int = 0, after: str = "", limit: int = 1000
     ) -> Page:
-        """Return rows under ``prefix`` written after ``since``, in key order."""
+        """Return rows under ``prefix`` written after ``since``, in order of keys."""
         rows: list[Row] = []
-        low = max(prefix, after)
-        for key in self._rows.irange(minimum=low):
+        first_key = max(prefix, after)
+        for key in self._rows.irange(minimum=first_key):
             if not key.startswith(prefix):
                 break
             row = self._rows[key]
@@ -47,12 +47,12 @@
     async def transact(
         self, expects: Sequence[Expect], writes: Sequence[Write]
     ) -> Result[int, StoreConflict]:
-        """Apply all writes at one new revision, or none."""
+        """Apply all writes atomically at one new revision."""
         for expect in expects:
             row = self._rows.get(expect.key)
-            found = row.revision if row is not None else 0
-            if found != expect.revision:
-                return Error(StoreConflict(expect.key, found))
+            revision = row.revision if row is not None else 0
+            if revision != expect.revision:
+                return Error(StoreConflict(expect.key, revision))
         self._revision += 1
         for write in writes:
             if isinstance(write, Delete):
@@ -63,13 +63,13 @@
 
 
 class MemoryObjects:
-    """Object store held in memory."""
+    """In-memory object store."""
 
     def __init__(self) -> None:
         self._objects: dict[str, bytes] = {}
 
     async def put_object(self, key: str, body: bytes) -> None:
-        """Store an object under ``key``, replacing any other."""
+        """Create or replace an object."""
         self._objects[key] = body
 
     async def get_object(self, key: str) -> bytes | None:
@@ -78,19 +78,19 @@
 
 
 class MemoryHostList:
-    """Host list held in memory."""
+    """In-memory host list."""
 
     def __init__(self, hosts: Sequence[Host] = ()) -> None:
         self._hosts = {host.name: host for host in hosts}
 
     def set_host(self, host: Host) -> None:
-        """Add a host or replace its row."""
+        """Add or replace a host."""
         self._hosts[host.name] = host
 
     def remove_host(self, name: str) -> None:
-        """Drop a host from the list."""
+        """Remove a host."""
         self._hosts.pop(name, None)
 
     async def list_hosts(self) -> list[Host]:
-        """Return every host."""
+        """Return all hosts."""
         return list(self._hosts.values())
--- a/libs/platform/src/bilberryhitch_platform/retry_budget.py
+++ b/libs/platform/src/bilberryhitch_platform/retry_budget.py
@@ -1,4 +1,4 @@
-"""A token bucket that bounds retries to a share of the calls.
+"""A token bucket that limits retries to a share of the calls.
 
 Retries without a budget multiply the load on a service that is already
 overloaded; see Beyer et al., Site Reliability Engineering, 2016, chapter 21.
@@ -8,17 +8,19 @@
 
 RETRY_RATIO = 0.1
 CAPACITY = 10.0
-INITIAL_TOKENS = 1.0  # lets a process that has made few calls retry once
+INITIAL_TOKENS = 1.0  # allows one retry before the calls have earned a token
 BASE_DELAY_S = 0.05
 MAX_DELAY_S = 2.0
 
 
 class RetryBudget:
-    """Retries earned by calls; after n calls at most ``n * ratio + 1`` are spent.
+    """Limits the retries after n calls to ``n * ratio + 1``, and gives their delays.
 
     :param rng: source of the jitter
-    :param ratio: tokens earned by each call; a retry costs one token
-    :param capacity: most tokens kept, the longest burst of retries
+    :param ratio: tokens that each call adds; a retry costs one token
+    :param capacity: maximum number of tokens, which is the longest burst of retries
+    :param base_delay_s: upper bound of the delay before the first retry
+    :param max_delay_s: upper bound of any delay
     """
 
     def __init__(
@@ -39,26 +41,26 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that may be made now."""
+        """Number of tokens; each allows one retry."""
         return self._tokens
 
     def record_call(self) -> None:
-        """Earn the share of a first attempt."""
+        """Add the tokens of one call; retries are not counted as calls."""
         self._tokens = min(self._capacity, self._tokens + self._ratio)
 
     def take_retry(self) -> bool:
-        """Spend one token; ``False`` means that the call must not be retried."""
+        """Take one token; without one return False: the call must not be retried."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
     def delay_s(self, retry: int) -> float:
-        """Return how long to wait before a retry.
+        """Return the delay before a retry: exponential backoff with full jitter.
 
-        :param retry: number of the retry, from 0
-        :returns: seconds, uniform between zero and an exponentially growing
-            bound ("full jitter")
+        :param retry: index of the retry, from 0
+        :returns: seconds, uniformly distributed between 0 and a bound that grows
+            exponentially up to ``max_delay_s``
         """
         bound = min(self._max_delay_s, self._base_delay_s * 2.0 ** min(retry, 30))
         return self._rng.uniform(0.0, bound)
--- a/libs/platform/src/bilberryhitch_platform/wire.py
+++ b/libs/platform/src/bilberryhitch_platform/wire.py
@@ -1,6 +1,6 @@
 """Bodies of the platform's HTTP protocol, as in ``docs/platform-protocol.md``.
 
-JSON; bytes travel as base64, which msgspec does on both sides.
+JSON; msgspec encodes and decodes bytes as base64.
 """
 
 import msgspec
@@ -32,13 +32,13 @@
 
 
 class RowAnswer(msgspec.Struct):
-    """Answer to a read of one row."""
+    """Response to a read of one row."""
 
     row: WireRow | None
 
 
 class PageAnswer(msgspec.Struct):
-    """Answer to a scan."""
+    """Response to a scan."""
 
     rows: list[WireRow]
     revision: int
@@ -56,31 +56,31 @@
 
 
 class WireExpect(msgspec.Struct):
-    """A condition of a transaction."""
+    """A precondition of a transaction."""
 
     key: str
     revision: int
 
 
 class WireWrite(msgspec.Struct):
-    """A write; no value means that the row is removed."""
+    """A write; the row is deleted if there is no value."""
 
     key: str
     value: bytes | None = None
 
 
 class Transaction(msgspec.Struct):
-    """Body of a transaction."""
+    """Request body of a transaction."""
 
     expects: list[WireExpect]
     writes: list[WireWrite]
 
     def to_expects(self) -> list[Expect]:
-        """Return the conditions as the interfaces have them."""
+        """Return the preconditions."""
         return [Expect(expect.key, expect.revision) for expect in self.expects]
 
     def to_writes(self) -> list[Write]:
-        """Return the writes as the interfaces have them."""
+        """Return the writes."""
         return [
             Delete(write.key) if write.value is None else Put(write.key, write.value)
             for write in self.writes
@@ -88,19 +88,19 @@
 
 
 class Committed(msgspec.Struct):
-    """Answer to a transaction that was applied."""
+    """Response to a transaction that was applied."""
 
     revision: int
 
 
 class Conflicted(msgspec.Struct):
-    """Answer to a transaction whose condition failed."""
+    """Response to a transaction whose precondition failed."""
 
     key: str
     found_revision: int
 
 
-def wire_write(write: Write) -> WireWrite:
+def to_wire_write(write: Write) -> WireWrite:
     """Return the wire form of a write."""
     if isinstance(write, Delete):
         return WireWrite(write.key)
--- a/libs/platform/tests/test_commit.py
+++ b/libs/platform/tests/test_commit.py
@@ -4,8 +4,8 @@
 from bilberryhitch_testing import FaultyTables, run_virtual
 
 
-def test_lost_answer_applies_once():
-    # Guards against a second application when the first answer is lost.
+def test_transaction_with_a_lost_response_is_applied_once():
+    # Guards against applying a transaction twice if its first response is lost.
     async def main():
         inner = MemoryTables()
         tables = FaultyTables(inner)
@@ -17,8 +17,8 @@
     run_virtual(main())
 
 
-def test_conflict_after_a_lost_answer_of_others_is_a_conflict():
-    # Guards against taking another writer's row for our own write.
+def test_conflict_with_another_writer_after_a_lost_response_is_reported():
+    # Guards against taking the row of another writer for that of the lost attempt.
     async def main():
         inner = MemoryTables()
         await inner.transact([], [Put("a", b"theirs")])
@@ -31,14 +31,14 @@
     run_virtual(main())
 
 
-def test_unavailable_after_a_lost_answer_is_not_reported_as_no_effect():
-    # Guards against "not applied" being claimed after an uncertain send.
+def test_unavailable_store_after_a_lost_response_is_not_reported_as_no_effect():
+    # Guards against reporting "not applied" after an attempt of unknown outcome.
     async def main():
         inner = MemoryTables()
         tables = FaultyTables(inner)
         tables.lose_answers = 1
 
-        class DownAfterFirst:
+        class UnavailableAfterFirstCall:
             def __init__(self):
                 self.calls = 0
 
@@ -49,12 +49,12 @@
                 return await tables.transact(expects, writes)
 
         with pytest.raises(StoreAnswerLost):
-            await commit(DownAfterFirst(), [], [Put("a", b"1")], "op")
+            await commit(UnavailableAfterFirstCall(), [], [Put("a", b"1")], "op")
 
     run_virtual(main())
 
 
-def test_abandon_prevents_a_later_application():
+def test_abandoned_transaction_is_not_applied_later():
     async def main():
         inner = MemoryTables()
         assert (await abandon(inner, "op")).is_ok()
--- a/libs/platform/tests/test_memory.py
+++ b/libs/platform/tests/test_memory.py
@@ -2,7 +2,7 @@
 from bilberryhitch_testing import run_virtual
 
 
-def test_transaction_is_all_or_nothing():
+def test_transaction_is_atomic():
     async def main():
         tables = MemoryTables()
         result = await tables.transact([Expect("b", 3)], [Put("a", b"1")])
--- a/libs/platform/tests/test_sweeper.py
+++ b/libs/platform/tests/test_sweeper.py
@@ -7,17 +7,17 @@
 HOUR_S = 3600.0
 
 
-def sweeper_of(tables, name):
+def make_sweeper(tables, name):
     numbers = count()
     return OperationsSweeper(tables, new_id=lambda: f"{name}-{next(numbers)}")
 
 
-def test_rows_stay_an_hour_and_go_soon_after():
-    # Guards against an early deletion, which would let a repeated transaction
-    # apply twice, and against rows that are never deleted.
+def test_rows_are_deleted_soon_after_an_hour():
+    # Guards against an early deletion, which lets a retried transaction be applied
+    # twice, and against rows that are never deleted.
     async def main():
         tables = MemoryTables()
-        sweepers = [sweeper_of(tables, name) for name in "ab"]
+        sweepers = [make_sweeper(tables, name) for name in "ab"]
         for sweeper in sweepers:
             await sweeper.start()
         await asyncio.sleep(1000.0)
@@ -33,22 +33,22 @@
     run_virtual(main())
 
 
-def test_processes_that_never_live_long_do_not_shorten_the_hour():
-    # Guards against marks from processes that did not watch the row.
+def test_short_lived_processes_do_not_shorten_the_retention():
+    # Guards against marks of processes that have not seen the row long enough.
     async def main():
         tables = MemoryTables()
         await commit(tables, [], [Put("a", b"1")], "op")
         for number in range(100):
-            await sweeper_of(tables, f"s{number}").sweep()
+            await make_sweeper(tables, f"s{number}").sweep()
         assert await tables.get("operations/op") is not None
 
     run_virtual(main())
 
 
-def test_sweeping_goes_on_after_an_outage():
+def test_sweeping_resumes_after_an_outage():
     async def main():
         tables = FaultyTables(MemoryTables())
-        sweeper = sweeper_of(tables, "s")
+        sweeper = make_sweeper(tables, "s")
         await commit(tables, [], [Put("a", b"1")], "op")
         await sweeper.start()
         tables.down = True
