--- a/libs/planner/src/bilberryhitch_planner/__init__.py
+++ b/libs/planner/src/bilberryhitch_planner/__init__.py
@@ -1,6 +1,6 @@
 """The planner of jobs: placement, leases, reclaim, takeover and its journal."""
 
-from .active_planner import Candidate, Lead
+from .active_planner import Candidate, ActivePlanner
 from .errors import (
     Deposed,
     MachinesUnknown,
--- a/libs/planner/src/bilberryhitch_planner/active_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/active_planner.py
@@ -50,7 +50,7 @@
 ISOLATION_GRACE_S = 3.0
 
 
-class Lead:
+class ActivePlanner:
     """Everything that lives as long as one tenure.
 
     :param worker_table: table in which workers register themselves
@@ -321,11 +321,11 @@
     def __init__(
         self,
         win: Callable[[], Coroutine[Any, Any, Tenure]],
-        lead: Callable[[Tenure], Lead],
+        lead: Callable[[Tenure], ActivePlanner],
     ) -> None:
         self._win = win
         self._make_lead = lead
-        self._lead: Lead | None = None
+        self._lead: ActivePlanner | None = None
         self._closing = False
         self._task: asyncio.Task[None] | None = None
 
@@ -371,7 +371,7 @@
             finally:
                 self._lead = None
 
-    async def _release(self, lead: Lead) -> None:
+    async def _release(self, lead: ActivePlanner) -> None:
         try:
             async with asyncio.timeout(RELEASE_TIMEOUT_S):
                 await lead.journal.release()
