--- a/libs/planner/src/bilberryhitch_planner/__init__.py
+++ b/libs/planner/src/bilberryhitch_planner/__init__.py
@@ -23,7 +23,7 @@
     StopOutcome,
     WorkerEntry,
 )
-from .tenure import Campaign, Tenure
+from .tenure import LeaderElection, Tenure
 from .upkeep import Machine, UpkeepCalls, UpkeepOutcome, Wave
 from .worker_calls import WorkerCalls
 
--- a/libs/planner/src/bilberryhitch_planner/tenure.py
+++ b/libs/planner/src/bilberryhitch_planner/tenure.py
@@ -63,7 +63,7 @@
     address: str = ""
 
 
-class Campaign:
+class LeaderElection:
     """Waits for the lease to be free and acquires it.
 
     :param holder: unique name of this process's life: ``host/life``
--- a/libs/planner/tests/test_tenure.py
+++ b/libs/planner/tests/test_tenure.py
@@ -7,7 +7,7 @@
 from bilberryhitch_jobs import JobProgress, JobRequest, JobState, Queue, RowSnapshot
 from bilberryhitch_jobs.errors import CommitConflict, StoreUnknown
 from bilberryhitch_jobs.rows import StoreRow
-from bilberryhitch_planner import Campaign, Deposed, Planner
+from bilberryhitch_planner import LeaderElection, Deposed, Planner
 from bilberryhitch_planner.liveness import wait_for_process_end
 from bilberryhitch_planner.state_writer import (
     MAX_ROWS_PER_COMMIT,
@@ -83,10 +83,10 @@
 def test_a_silent_holder_is_replaced_and_shut_out():
     async def scene():
         store = MemoryStore()
-        first = await Campaign(store, "a/1").win()
+        first = await LeaderElection(store, "a/1").win()
         _, old = journal(store, first)
         await old.write()
-        second = await Campaign(store, "b/1").win()
+        second = await LeaderElection(store, "b/1").win()
         assert second.token > first.token
         with pytest.raises(Deposed):
             await old.write()
@@ -97,10 +97,10 @@
 def test_a_holder_that_renews_is_left_alone():
     async def scene():
         store = MemoryStore()
-        tenure = await Campaign(store, "a/1").win()
+        tenure = await LeaderElection(store, "a/1").win()
         _, held = journal(store, tenure)
         running = asyncio.create_task(held.run())
-        rival = asyncio.create_task(Campaign(store, "b/1").win())
+        rival = asyncio.create_task(LeaderElection(store, "b/1").win())
         await asyncio.sleep(5 * LEASE_EXPIRY_S)
         assert not rival.done()
         assert store.lease().holder == "a/1"
@@ -114,11 +114,11 @@
 def test_a_released_lease_is_taken_at_once():
     async def scene():
         store = MemoryStore()
-        tenure = await Campaign(store, "a/1").win()
+        tenure = await LeaderElection(store, "a/1").win()
         _, held = journal(store, tenure)
         await held.release()
         async with asyncio.timeout(LEASE_EXPIRY_S / 2):
-            await Campaign(store, "b/1").win()
+            await LeaderElection(store, "b/1").win()
 
     run_virtual(scene())
 
@@ -128,9 +128,9 @@
 
     async def scene():
         store = MemoryStore()
-        first = await Campaign(store, "a/1").win()
+        first = await LeaderElection(store, "a/1").win()
         async with asyncio.timeout(LEASE_EXPIRY_S / 2):
-            second = await Campaign(store, "a/2").win()
+            second = await LeaderElection(store, "a/2").win()
         assert second.token > first.token
 
     run_virtual(scene())
@@ -140,7 +140,7 @@
     async def scene():
         store = MemoryStore()
         store.lose = 1
-        tenure = await Campaign(store, "a/1").win()
+        tenure = await LeaderElection(store, "a/1").win()
         assert store.lease().holder == "a/1"
         assert tenure.token == store.rows[LEASE_TABLE, LEASE_KEY].revision
 
@@ -152,7 +152,7 @@
 
     async def scene():
         store = MemoryStore()
-        tenure = await Campaign(store, "a/1").win()
+        tenure = await LeaderElection(store, "a/1").win()
         planner, held = journal(store, tenure)
         await held.write()
         queue = Queue("q", "h", "/q/", "pool", 3.0, 0, 1, 1.0, 1.0, False, None)
@@ -180,7 +180,7 @@
 
     async def scene():
         store = MemoryStore()
-        tenure = await Campaign(store, "a/1").win()
+        tenure = await LeaderElection(store, "a/1").win()
         planner, held = journal(store, tenure)
         queue = Queue("q", "h", "/q/", "pool", 3.0, 0, 1, 1.0, 1.0, False, None)
         for number in range(2 * MAX_ROWS_PER_COMMIT + 1):
@@ -206,7 +206,7 @@
 
     async def scene():
         store = MemoryStore()
-        tenure = await Campaign(store, "a/1").win()
+        tenure = await LeaderElection(store, "a/1").win()
         planner, held = journal(store, tenure)
         queue = Queue("q", "h", "/q/", "pool", 3.0, 0, 1, 1.0, 1.0, False, None)
         request = JobRequest("0" * 16, queue, "a", "s", (), 0.0)
@@ -231,7 +231,7 @@
 
     async def scene():
         store = MemoryStore()
-        tenure = await Campaign(store, "a/1").win()
+        tenure = await LeaderElection(store, "a/1").win()
         _, held = journal(store, tenure)
         done = JobProgress(JobState.COMPLETED, "a", {}, finished_s=1.0)
         begun = JobProgress(JobState.RUNNING, "a", {})
@@ -256,11 +256,11 @@
         async def ended(address):
             await (killed if address == "ip:1" else asyncio.Event()).wait()
 
-        first = await Campaign(store, "a/1", "ip:1").win()
+        first = await LeaderElection(store, "a/1", "ip:1").win()
         _, held = journal(store, first)
         running = asyncio.create_task(held.run())
         rivals = [
-            asyncio.create_task(Campaign(store, f"{name}/1", "ip:2", ended).win())
+            asyncio.create_task(LeaderElection(store, f"{name}/1", "ip:2", ended).win())
             for name in "bc"
         ]
         await asyncio.sleep(3 * LEASE_EXPIRY_S)
@@ -307,7 +307,7 @@
     async def scene():
         store = MemoryStore()
         store.rows["summary", "waiting"] = StoreRow("summary", "waiting", b'{"q":7}', 1)
-        tenure = await Campaign(store, "a/1").win()
+        tenure = await LeaderElection(store, "a/1").win()
         _, held = journal(store, tenure)
         await held.write()
         assert store.rows["summary", "waiting"].value == b'{"q":7}'
@@ -323,12 +323,12 @@
 
     async def scene():
         store = MemoryStore()
-        await Campaign(store, "a/1", "ip:1").win()
+        await LeaderElection(store, "a/1", "ip:1").win()
 
         async def ended(_address):
             await asyncio.Event().wait()
 
-        rival = asyncio.create_task(Campaign(store, "b/1", "ip:2", ended).win())
+        rival = asyncio.create_task(LeaderElection(store, "b/1", "ip:2", ended).win())
         await asyncio.sleep(LEASE_EXPIRY_S / 4)
         rival.cancel()
         await asyncio.wait((rival,))
