--- a/libs/planner/src/bilberryhitch_planner/__init__.py
+++ b/libs/planner/src/bilberryhitch_planner/__init__.py
@@ -23,7 +23,7 @@
     StopOutcome,
     WorkerEntry,
 )
-from .tenure import LeaderElection, Tenure
+from .tenure import LeaderElection, LeaderLease
 from .upkeep import Machine, UpkeepCalls, UpkeepOutcome, Wave
 from .worker_calls import WorkerCalls
 
--- a/libs/planner/src/bilberryhitch_planner/active_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/active_planner.py
@@ -24,7 +24,7 @@
 from .planner import Planner
 from .reports import Advice, AdviseOrder, WorkerEntry
 from .state_writer import StateWriter, read_progress, read_roster
-from .tenure import WORKER_LEASE_HORIZON_S, Tenure
+from .tenure import WORKER_LEASE_HORIZON_S, LeaderLease
 from .upkeep import UpkeepCalls, UpkeepController, Wave
 from .worker_calls import WorkerCalls
 from .worker_session import WorkerSession
@@ -63,7 +63,7 @@
     def __init__(
         self,
         store: Store,
-        tenure: Tenure,
+        tenure: LeaderLease,
         calls: WorkerCalls,
         *,
         worker_table: str,
@@ -320,8 +320,8 @@
 
     def __init__(
         self,
-        win: Callable[[], Coroutine[Any, Any, Tenure]],
-        lead: Callable[[Tenure], ActivePlanner],
+        win: Callable[[], Coroutine[Any, Any, LeaderLease]],
+        lead: Callable[[LeaderLease], ActivePlanner],
     ) -> None:
         self._win = win
         self._make_lead = lead
@@ -379,7 +379,7 @@
             log(events.PLANNER_RELEASE_FAILED, error=error)
 
 
-def _log_end(tenure: Tenure, group: BaseExceptionGroup[BaseException]) -> None:
+def _log_end(tenure: LeaderLease, group: BaseExceptionGroup[BaseException]) -> None:
     log(
         events.PLANNER_ENDED,
         fencing_token=tenure.token,
--- a/libs/planner/src/bilberryhitch_planner/state_writer.py
+++ b/libs/planner/src/bilberryhitch_planner/state_writer.py
@@ -47,7 +47,7 @@
     RENEWAL_PERIOD_S,
     WORKER_LEASE_HORIZON_S,
     LeaseRow,
-    Tenure,
+    LeaderLease,
     decode_lease,
     encode_lease,
 )
@@ -102,7 +102,7 @@
     def __init__(
         self,
         store: Store,
-        tenure: Tenure,
+        tenure: LeaderLease,
         planner: Planner,
         *,
         keep_s: float,
--- a/libs/planner/src/bilberryhitch_planner/tenure.py
+++ b/libs/planner/src/bilberryhitch_planner/tenure.py
@@ -47,7 +47,7 @@
     address: str = ""
 
 
-class Tenure(NamedTuple):
+class LeaderLease(NamedTuple):
     """A lease that has been acquired.
 
     :param token: fencing token, also the store's version at the acquisition
@@ -88,7 +88,7 @@
         self._revision = 0
         self._changed_at = self._tried_at = time.monotonic()
 
-    async def win(self) -> Tenure:
+    async def win(self) -> LeaderLease:
         """Return when this process holds the lease."""
         self._row, self._revision = None, 0
         try:
@@ -96,7 +96,7 @@
         finally:
             self._drop_probe()
 
-    async def _run(self) -> Tenure:
+    async def _run(self) -> LeaderLease:
         known = False
         while True:
             try:
@@ -118,7 +118,7 @@
         self._observe_row(snapshot.rows[0] if snapshot.rows else None)
         self._revision = snapshot.revision
 
-    async def _try_once(self) -> Tenure | None:
+    async def _try_once(self) -> LeaderLease | None:
         lease = decode_lease(self._row)
         if self._row is not None and lease.holder == self._holder:
             # An acquisition whose answer was lost.
@@ -177,7 +177,7 @@
             self._probe.cancel()
         self._probe, self._probed = None, ""
 
-    async def _acquire(self, former: LeaseRow) -> Tenure | None:
+    async def _acquire(self, former: LeaseRow) -> LeaderLease | None:
         value = LeaseRow(self._holder, 0, 0, self._address)
         present = self._row.revision if self._row else 0
         self._tried_at = time.monotonic()
@@ -198,8 +198,8 @@
         )
         return self._tenure(revision)
 
-    def _tenure(self, token: int) -> Tenure:
-        return Tenure(
+    def _tenure(self, token: int) -> LeaderLease:
+        return LeaderLease(
             self._holder, token, self._tried_at, self._changed_at, self._address
         )
 
--- a/libs/planner/src/bilberryhitch_planner/worker_session.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_session.py
@@ -20,7 +20,7 @@
 )
 from .runs import RunState
 from .state_writer import StateWriter
-from .tenure import Tenure
+from .tenure import LeaderLease
 from .throttling import shares_processor
 from .worker_calls import WorkerCalls
 
@@ -51,7 +51,7 @@
         name: str,
         planner: Planner,
         journal: StateWriter,
-        tenure: Tenure,
+        tenure: LeaderLease,
         calls: WorkerCalls,
         on_change: Callable[[], None],
     ) -> None:
--- a/libs/planner/tests/test_candidate.py
+++ b/libs/planner/tests/test_candidate.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 import pytest
-from bilberryhitch_planner import Candidate, Deposed, Tenure
+from bilberryhitch_planner import Candidate, Deposed, LeaderLease
 from bilberryhitch_planner.errors import Isolated
 
 
@@ -39,7 +39,7 @@
         lead = EndingLead(error)
 
         async def win():
-            return Tenure("a/1", 1, 0.0, 0.0)
+            return LeaderLease("a/1", 1, 0.0, 0.0)
 
         candidate = Candidate(win, lambda _tenure: lead)
         candidate.start()
@@ -62,7 +62,7 @@
         lead.run = run
 
         async def win():
-            return Tenure("a/1", 1, 0.0, 0.0)
+            return LeaderLease("a/1", 1, 0.0, 0.0)
 
         candidate = Candidate(win, lambda _tenure: lead)
         candidate.start()
