--- a/libs/planner/src/bilberryhitch_planner/__init__.py
+++ b/libs/planner/src/bilberryhitch_planner/__init__.py
@@ -1,6 +1,6 @@
 """The planner of jobs: placement, leases, reclaim, takeover and its journal."""
 
-from .active_planner import Candidate, ActivePlanner
+from .active_planner import ActivePlanner, Candidate
 from .errors import (
     Deposed,
     MachinesUnknown,
@@ -8,6 +8,7 @@
     WorkerGone,
     WorkerUnreachable,
 )
+from .leader_election import LeaderElection, LeaderLease
 from .planner import Planner
 from .reports import (
     Advice,
@@ -23,20 +24,19 @@
     StopOutcome,
     WorkerEntry,
 )
-from .tenure import LeaderElection, LeaderLease
 from .upkeep import Machine, UpkeepCalls, UpkeepOutcome, Wave
 from .worker_calls import WorkerCalls
 
 __all__ = [
     "Advice",
     "AdviseOrder",
-    "Campaign",
+    "LeaderElection",
     "Candidate",
     "Deposed",
     "EndKind",
     "EndedTask",
     "HoldReport",
-    "Lead",
+    "ActivePlanner",
     "Machine",
     "MachinesUnknown",
     "PaceOrder",
@@ -46,7 +46,7 @@
     "StartOutcome",
     "StopOrder",
     "StopOutcome",
-    "Tenure",
+    "LeaderLease",
     "UpkeepCalls",
     "UpkeepOutcome",
     "Wave",
--- a/libs/planner/src/bilberryhitch_planner/active_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/active_planner.py
@@ -21,10 +21,10 @@
 
 from .errors import Deposed, Isolated, MachinesUnknown, WorkerFenced
 from .event_wait import wait_for_event
+from .leader_election import WORKER_LEASE_HORIZON_S, LeaderLease
 from .planner import Planner
 from .reports import Advice, AdviseOrder, WorkerEntry
 from .state_writer import StateWriter, read_progress, read_roster
-from .tenure import WORKER_LEASE_HORIZON_S, LeaderLease
 from .upkeep import UpkeepCalls, UpkeepController, Wave
 from .worker_calls import WorkerCalls
 from .worker_session import WorkerSession
@@ -51,7 +51,7 @@
 
 
 class ActivePlanner:
-    """Everything that lives as long as one tenure.
+    """Everything that lives as long as one leader_lease.
 
     :param worker_table: table in which workers register themselves
     :param advise: asks the advice service; None if there is no usable answer
@@ -63,7 +63,7 @@
     def __init__(
         self,
         store: Store,
-        tenure: LeaderLease,
+        leader_lease: LeaderLease,
         calls: WorkerCalls,
         *,
         worker_table: str,
@@ -77,14 +77,15 @@
     ) -> None:
         horizon = WORKER_LEASE_HORIZON_S * (1 + CLOCK_DRIFT) + LEASE_SLACK_S
         self.planner = Planner(
-            inherited_revision=tenure.token, inherited_until=tenure.renewed_at + horizon
+            inherited_revision=leader_lease.token,
+            inherited_until=leader_lease.renewed_at + horizon,
         )
         self._wake = asyncio.Event()
-        self.journal = StateWriter(
-            store, tenure, self.planner, keep_s=keep_s, on_stored=self._wake.set
+        self.state_writer = StateWriter(
+            store, leader_lease, self.planner, keep_s=keep_s, on_stored=self._wake.set
         )
         self._store = store
-        self._tenure = tenure
+        self._leader_lease = leader_lease
         self._calls = calls
         self._decode_worker = decode_worker
         self._configuration = configuration
@@ -93,9 +94,9 @@
         self._upkeep = UpkeepController(
             store,
             self.planner,
-            self.journal,
+            self.state_writer,
             machines,
-            token=tenure.token,
+            token=leader_lease.token,
             waves=waves,
             encode_status=encode_wave,
             on_change=self._changed,
@@ -123,12 +124,12 @@
         """
         async with asyncio.TaskGroup() as group:
             self._group = group
-            group.create_task(self.journal.run())
+            group.create_task(self.state_writer.run())
             await self._inherit()
             group.create_task(self._jobs.run())
             group.create_task(self._worker_rows.run())
             group.create_task(self._plan())
-            group.create_task(self.journal.remove_expired())
+            group.create_task(self.state_writer.remove_expired())
             group.create_task(self._upkeep.run())
             group.create_task(self._look_for_gone())
 
@@ -141,8 +142,8 @@
                 # Nobody else writes progress any more: the lease is held.
                 self._inherited = await read_progress(self._store)
                 await self._jobs.poll()
-                self.journal.adopt_orphans(self._inherited)
-                self.journal.enable_waiting_counts()
+                self.state_writer.adopt_orphans(self._inherited)
+                self.state_writer.enable_waiting_counts()
                 return
             except STORE_ERRORS as error:
                 log(events.DEPENDENCY_LOST, dependency="store", error=error)
@@ -156,7 +157,7 @@
             now, unix_s = time.monotonic(), time.time()
             self._adopt_configuration()
             self.planner.tick(now=now, unix_s=unix_s)
-            may_start = self.journal.worker_lease_limit - now > MIN_LEASE_S
+            may_start = self.state_writer.worker_lease_limit - now > MIN_LEASE_S
             for order in self.planner.plan(now=now, unix_s=unix_s, may_start=may_start):
                 session = self._sessions.get(order.worker)
                 if session is not None:
@@ -164,7 +165,7 @@
             questions, self.planner.advice_requests = self.planner.advice_requests, []
             for question in questions:
                 self._spawn(self._ask(question))
-            self.journal.notify()
+            self.state_writer.notify()
             self._check_isolation(now)
 
     async def _ask(self, question: AdviseOrder) -> None:
@@ -232,7 +233,7 @@
 
     def _changed(self) -> None:
         self._wake.set()
-        self.journal.notify()
+        self.state_writer.notify()
 
     # Rows of jobs.
 
@@ -299,8 +300,8 @@
             session = WorkerSession(
                 entry.worker,
                 self.planner,
-                self.journal,
-                self._tenure,
+                self.state_writer,
+                self._leader_lease,
                 self._calls,
                 self._changed,
             )
@@ -316,23 +317,23 @@
 
 
 class Candidate:
-    """Runs for the planner's lease on this host, tenure after tenure."""
+    """Runs for the planner's lease on this host, tenure after leader_lease."""
 
     def __init__(
         self,
-        win: Callable[[], Coroutine[Any, Any, LeaderLease]],
-        lead: Callable[[LeaderLease], ActivePlanner],
+        acquire_lease: Callable[[], Coroutine[Any, Any, LeaderLease]],
+        create_planner: Callable[[LeaderLease], ActivePlanner],
     ) -> None:
-        self._win = win
-        self._make_lead = lead
-        self._lead: ActivePlanner | None = None
+        self._acquire_lease = acquire_lease
+        self._create_planner = create_planner
+        self._active: ActivePlanner | None = None
         self._closing = False
         self._task: asyncio.Task[None] | None = None
 
     @property
     def leading(self) -> bool:
         """Whether this host plans."""
-        return self._lead is not None
+        return self._active is not None
 
     def start(self) -> None:
         """Begin to run for the lease."""
@@ -343,45 +344,47 @@
         if self._task is None:
             return
         self._closing = True
-        lead = self._lead
+        planner = self._active
         while not self._task.done():
             # A task group drops a cancellation that meets an error of a child.
             self._task.cancel()
             await asyncio.wait((self._task,), timeout=CANCEL_PERIOD_S)
-        if lead is not None:
-            await self._release(lead)
+        if planner is not None:
+            await self._release(planner)
 
     async def _run(self) -> None:
         while not self._closing:
-            tenure = await self._win()
-            lead = self._lead = self._make_lead(tenure)
-            log(events.PLANNER_STARTED, fencing_token=tenure.token)
+            leader_lease = await self._acquire_lease()
+            planner = self._active = self._create_planner(leader_lease)
+            log(events.PLANNER_STARTED, fencing_token=leader_lease.token)
             try:
-                await lead.run()
+                await planner.run()
             except* Deposed as group:
-                _log_end(tenure, group)
+                _log_end(leader_lease, group)
             except* WorkerFenced as group:
-                _log_end(tenure, group)
+                _log_end(leader_lease, group)
             except* Isolated as group:
-                _log_end(tenure, group)
-                await self._release(lead)
+                _log_end(leader_lease, group)
+                await self._release(planner)
                 await asyncio.sleep(ISOLATION_TIMEOUT_S)
             except* Exception as group:
                 log(events.TASK_FAILED, error=group.exceptions[0])
             finally:
-                self._lead = None
+                self._active = None
 
-    async def _release(self, lead: ActivePlanner) -> None:
+    async def _release(self, planner: ActivePlanner) -> None:
         try:
             async with asyncio.timeout(RELEASE_TIMEOUT_S):
-                await lead.journal.release()
+                await planner.state_writer.release()
         except (Deposed, TimeoutError) as error:
             log(events.PLANNER_RELEASE_FAILED, error=error)
 
 
-def _log_end(tenure: LeaderLease, group: BaseExceptionGroup[BaseException]) -> None:
+def _log_end(
+    leader_lease: LeaderLease, group: BaseExceptionGroup[BaseException]
+) -> None:
     log(
         events.PLANNER_ENDED,
-        fencing_token=tenure.token,
+        fencing_token=leader_lease.token,
         reason=str(group.exceptions[0]) or type(group.exceptions[0]).__name__,
     )
--- a/libs/planner/src/bilberryhitch_planner/tenure.py
+++ b/libs/planner/src/bilberryhitch_planner/leader_election.py
@@ -88,7 +88,7 @@
         self._revision = 0
         self._changed_at = self._tried_at = time.monotonic()
 
-    async def win(self) -> LeaderLease:
+    async def acquire(self) -> LeaderLease:
         """Return when this process holds the lease."""
         self._row, self._revision = None, 0
         try:
@@ -103,9 +103,9 @@
                 if not known:
                     await self._read()
                     known = True
-                tenure = await self._try_once()
-                if tenure is not None:
-                    return tenure
+                leader_lease = await self._try_once()
+                if leader_lease is not None:
+                    return leader_lease
             except HistoryLost:
                 known = False
             except STORE_ERRORS:
@@ -122,11 +122,11 @@
         lease = decode_lease(self._row)
         if self._row is not None and lease.holder == self._holder:
             # An acquisition whose answer was lost.
-            return self._tenure(self._row.revision)
+            return self._leader_lease(self._row.revision)
         held = bool(lease.holder) and _host(lease.holder) != _host(self._holder)
         if held and await self._wait_for_change(lease):
             return None
-        return await self._acquire(lease)
+        return await self._commit_acquisition(lease)
 
     async def _wait_for_change(self, lease: LeaseRow) -> bool:
         """Return whether the lease changed before its holder seemed to be gone."""
@@ -177,7 +177,7 @@
             self._probe.cancel()
         self._probe, self._probed = None, ""
 
-    async def _acquire(self, former: LeaseRow) -> LeaderLease | None:
+    async def _commit_acquisition(self, former: LeaseRow) -> LeaderLease | None:
         value = LeaseRow(self._holder, 0, 0, self._address)
         present = self._row.revision if self._row else 0
         self._tried_at = time.monotonic()
@@ -196,9 +196,9 @@
             former=former.holder,
             former_silent_s=round(time.monotonic() - self._changed_at, 3),
         )
-        return self._tenure(revision)
+        return self._leader_lease(revision)
 
-    def _tenure(self, token: int) -> LeaderLease:
+    def _leader_lease(self, token: int) -> LeaderLease:
         return LeaderLease(
             self._holder, token, self._tried_at, self._changed_at, self._address
         )
--- a/libs/planner/src/bilberryhitch_planner/state_writer.py
+++ b/libs/planner/src/bilberryhitch_planner/state_writer.py
@@ -38,19 +38,19 @@
 
 from .errors import Deposed
 from .event_wait import wait_for_event
-from .planner import Planner
-from .tenure import (
+from .leader_election import (
     CALL_TIMEOUT_S,
     LEASE_EXPIRY_S,
     LEASE_KEY,
     LEASE_TABLE,
     RENEWAL_PERIOD_S,
     WORKER_LEASE_HORIZON_S,
-    LeaseRow,
     LeaderLease,
+    LeaseRow,
     decode_lease,
     encode_lease,
 )
+from .planner import Planner
 
 # Entries of one transaction, below the platform's limit of 100.
 MAX_ROWS_PER_COMMIT = 80
@@ -93,7 +93,7 @@
 
 
 class StateWriter:
-    """The writing half of a planner's tenure.
+    """The writing half of a planner's leader_lease.
 
     :param keep_s: how long finished jobs can be asked for
     :param on_stored: called after each transaction
@@ -102,7 +102,7 @@
     def __init__(
         self,
         store: Store,
-        tenure: LeaderLease,
+        leader_lease: LeaderLease,
         planner: Planner,
         *,
         keep_s: float,
@@ -110,15 +110,15 @@
         unix: Callable[[], float] = time.time,
     ) -> None:
         self._store = store
-        self._tenure = tenure
+        self._leader_lease = leader_lease
         self._planner = planner
         self._keep_s = keep_s
         self._on_stored = on_stored
         self._unix = unix
-        self._revision = tenure.token
+        self._revision = leader_lease.token
         self._renewal = 0
         self._renewed_at = float("-inf")
-        self._confirmed_at = tenure.acquired_at
+        self._confirmed_at = leader_lease.acquired_at
         self._outcome_unknown = False
         self._failing = False
         self._started_commits = 0
@@ -333,10 +333,10 @@
     def _lease_write(self, holder: str | None) -> RowWrite:
         self._renewal += 1
         lease = LeaseRow(
-            self._tenure.holder if holder is None else holder,
-            self._tenure.token,
+            self._leader_lease.holder if holder is None else holder,
+            self._leader_lease.token,
             self._renewal,
-            self._tenure.address,
+            self._leader_lease.address,
         )
         return RowWrite(LEASE_TABLE, LEASE_KEY, encode_lease(lease))
 
@@ -364,8 +364,8 @@
     def _resolve_conflict(self, conflict: CommitConflict) -> None:
         row = next(iter(conflict.rows), None)
         lease = decode_lease(row)
-        own = lease.holder == self._tenure.holder
-        if row is None or not own or lease.token not in (0, self._tenure.token):
+        own = lease.holder == self._leader_lease.holder
+        if row is None or not own or lease.token not in (0, self._leader_lease.token):
             raise Deposed(lease.holder)
         # A renewal of our own whose answer was lost.
         self._revision = row.revision
--- a/libs/planner/src/bilberryhitch_planner/upkeep.py
+++ b/libs/planner/src/bilberryhitch_planner/upkeep.py
@@ -12,10 +12,10 @@
 from bilberryhitch_telemetry import events, log
 
 from .errors import MachinesUnknown, WorkerFenced
+from .leader_election import CALL_TIMEOUT_S
 from .planner import Planner
 from .preemption import lost_core_seconds
 from .state_writer import StateWriter
-from .tenure import CALL_TIMEOUT_S
 from .workers import Worker
 
 RECORD_TABLE = "upkeep"
@@ -195,7 +195,7 @@
         self,
         store: Store,
         planner: Planner,
-        journal: StateWriter,
+        state_writer: StateWriter,
         calls: UpkeepCalls,
         *,
         token: int,
@@ -205,7 +205,7 @@
     ) -> None:
         self._store = store
         self._planner = planner
-        self._journal = journal
+        self._state_writer = state_writer
         self._calls = calls
         self._token = token
         self._waves = waves
@@ -249,7 +249,7 @@
         if book is None:
             book = WaveState(wave, records.get(wave.number, ()))
             self._wave_states[wave.number] = book
-            self._journal.put(self._encode_status(wave.number, False))
+            self._state_writer.put(self._encode_status(wave.number, False))
             log(events.WAVE_BEGUN, wave=wave.number, machines=len(wave.machines))
         book.wave = wave
         for name in book.unanswered(machines):
@@ -260,17 +260,17 @@
         for name in due:
             book.ordered[name] = machines[name].worker
             # A successor must know of an order that is carried out late.
-            self._journal.put(book.record_write)
-            if not await self._journal.flush(FLUSH_TIMEOUT_S):
+            self._state_writer.put(book.record_write)
+            if not await self._state_writer.flush(FLUSH_TIMEOUT_S):
                 continue
             await self._order(book, machines[name])
-        if book.complete(machines) and await self._journal.flush(FLUSH_TIMEOUT_S):
-            self._journal.put(self._encode_status(wave.number, True))
+        if book.complete(machines) and await self._state_writer.flush(FLUSH_TIMEOUT_S):
+            self._state_writer.put(self._encode_status(wave.number, True))
             self._done.add(wave.number)
             log(events.WAVE_DONE, wave=wave.number)
 
     async def _order(self, book: WaveState, machine: Machine) -> None:
-        if not self._journal.lease_is_fresh:
+        if not self._state_writer.lease_is_fresh:
             return
         outcome = await self._calls.begin_upkeep(
             machine.name, book.wave.number, token=self._token
@@ -288,7 +288,7 @@
         ended = book.ordered.get(machine.name)
         book.apply_outcome(machine.name, outcome, now)
         if outcome is UpkeepOutcome.BUSY:
-            self._journal.put(book.record_write)
+            self._state_writer.put(book.record_write)
         if outcome is UpkeepOutcome.BEGUN and ended:
             self._planner.worker_gone(ended, now=now, unix_s=time.time())
             self._on_change()
--- a/libs/planner/src/bilberryhitch_planner/worker_session.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_session.py
@@ -8,6 +8,7 @@
 
 from .cluster_state import format_task
 from .errors import WorkerFenced, WorkerGone, WorkerUnreachable
+from .leader_election import LeaderLease
 from .planner import Planner
 from .reports import (
     HoldReport,
@@ -20,7 +21,6 @@
 )
 from .runs import RunState
 from .state_writer import StateWriter
-from .tenure import LeaderLease
 from .throttling import shares_processor
 from .worker_calls import WorkerCalls
 
@@ -50,15 +50,15 @@
         self,
         name: str,
         planner: Planner,
-        journal: StateWriter,
-        tenure: LeaderLease,
+        state_writer: StateWriter,
+        leader_lease: LeaderLease,
         calls: WorkerCalls,
         on_change: Callable[[], None],
     ) -> None:
         self._name = name
         self._planner = planner
-        self._journal = journal
-        self._token = tenure.token
+        self._state_writer = state_writer
+        self._token = leader_lease.token
         self._calls = calls
         self._on_change = on_change
         self._acknowledged = 0
@@ -124,7 +124,7 @@
 
     async def _send_heartbeat(self, sent_at: float, wait_s: float) -> HoldReport:
         worker = self._planner.workers[self._name]
-        limit = min(sent_at + LEASE_S, self._journal.worker_lease_limit)
+        limit = min(sent_at + LEASE_S, self._state_writer.worker_lease_limit)
         lease = None
         # An unanswered extension may still count: a worker that stays silent
         # gets no further one, so that its lease can be known to have lapsed.
@@ -142,7 +142,7 @@
 
     async def _acknowledge(self, report: HoldReport) -> bool:
         """Return whether the ends may be acknowledged by the next look."""
-        if not await self._journal.flush(FLUSH_TIMEOUT_S):
+        if not await self._state_writer.flush(FLUSH_TIMEOUT_S):
             return False
         self._acknowledged = max(ended.sequence for ended in report.ended)
         return True
@@ -156,7 +156,7 @@
             if worker is None or run is None or run.state is not RunState.ORDERED:
                 return
             now = time.monotonic()
-            limit = min(now + LEASE_S, self._journal.worker_lease_limit)
+            limit = min(now + LEASE_S, self._state_writer.worker_lease_limit)
             outcome = await self._calls.start_run(
                 worker.entry,
                 order,
--- a/libs/planner/tests/test_candidate.py
+++ b/libs/planner/tests/test_candidate.py
@@ -8,13 +8,13 @@
 from bilberryhitch_planner.errors import Isolated
 
 
-class EndingLead:
+class EndingPlanner:
     """A tenure that ends by an error of its own while it is cancelled."""
 
     def __init__(self, error):
         self.released = 0
         self.started = asyncio.Event()
-        self.journal = SimpleNamespace(release=self._release)
+        self.state_writer = SimpleNamespace(release=self._release)
         self._error = error
 
     async def _release(self):
@@ -36,14 +36,14 @@
     """
 
     async def scene():
-        lead = EndingLead(error)
+        planner = EndingPlanner(error)
 
-        async def win():
+        async def acquire():
             return LeaderLease("a/1", 1, 0.0, 0.0)
 
-        candidate = Candidate(win, lambda _tenure: lead)
+        candidate = Candidate(acquire, lambda _lease: planner)
         candidate.start()
-        await lead.started.wait()
+        await planner.started.wait()
         async with asyncio.timeout(3):
             await candidate.close()
         assert not candidate.leading
@@ -53,21 +53,21 @@
 
 def test_a_closed_planner_gives_its_lease_up():
     async def scene():
-        lead = EndingLead(asyncio.CancelledError())
+        planner = EndingPlanner(asyncio.CancelledError())
 
         async def run():
-            lead.started.set()
+            planner.started.set()
             await asyncio.sleep(3600)
 
-        lead.run = run
+        planner.run = run
 
-        async def win():
+        async def acquire():
             return LeaderLease("a/1", 1, 0.0, 0.0)
 
-        candidate = Candidate(win, lambda _tenure: lead)
+        candidate = Candidate(acquire, lambda _lease: planner)
         candidate.start()
-        await lead.started.wait()
+        await planner.started.wait()
         await candidate.close()
-        assert lead.released == 1
+        assert planner.released == 1
 
     asyncio.run(scene())
--- a/libs/planner/tests/test_tenure.py
+++ b/libs/planner/tests/test_leader_election.py
@@ -7,19 +7,19 @@
 from bilberryhitch_jobs import JobProgress, JobRequest, JobState, Queue, RowSnapshot
 from bilberryhitch_jobs.errors import CommitConflict, StoreUnknown
 from bilberryhitch_jobs.rows import StoreRow
-from bilberryhitch_planner import LeaderElection, Deposed, Planner
+from bilberryhitch_planner import Deposed, LeaderElection, Planner
+from bilberryhitch_planner.leader_election import (
+    LEASE_EXPIRY_S,
+    LEASE_KEY,
+    LEASE_TABLE,
+    decode_lease,
+)
 from bilberryhitch_planner.liveness import wait_for_process_end
 from bilberryhitch_planner.state_writer import (
     MAX_ROWS_PER_COMMIT,
     REMOVAL_PERIOD_S,
     StateWriter,
 )
-from bilberryhitch_planner.tenure import (
-    LEASE_EXPIRY_S,
-    LEASE_KEY,
-    LEASE_TABLE,
-    decode_lease,
-)
 from bilberryhitch_testing import run_virtual
 
 
@@ -30,7 +30,7 @@
         monotonic=lambda: asyncio.get_running_loop().time(), time=lambda: 0.0
     )
     monkeypatch.setattr("bilberryhitch_planner.state_writer.time", clock)
-    monkeypatch.setattr("bilberryhitch_planner.tenure.time", clock)
+    monkeypatch.setattr("bilberryhitch_planner.leader_election.time", clock)
 
 
 class MemoryStore:
@@ -75,18 +75,18 @@
         return decode_lease(self.rows.get((LEASE_TABLE, LEASE_KEY)))
 
 
-def journal(store, tenure):
-    planner = Planner(inherited_revision=tenure.token, inherited_until=0.0)
-    return planner, StateWriter(store, tenure, planner, keep_s=60.0)
+def state_writer(store, lease):
+    planner = Planner(inherited_revision=lease.token, inherited_until=0.0)
+    return planner, StateWriter(store, lease, planner, keep_s=60.0)
 
 
 def test_a_silent_holder_is_replaced_and_shut_out():
     async def scene():
         store = MemoryStore()
-        first = await LeaderElection(store, "a/1").win()
-        _, old = journal(store, first)
+        first = await LeaderElection(store, "a/1").acquire()
+        _, old = state_writer(store, first)
         await old.write()
-        second = await LeaderElection(store, "b/1").win()
+        second = await LeaderElection(store, "b/1").acquire()
         assert second.token > first.token
         with pytest.raises(Deposed):
             await old.write()
@@ -97,10 +97,10 @@
 def test_a_holder_that_renews_is_left_alone():
     async def scene():
         store = MemoryStore()
-        tenure = await LeaderElection(store, "a/1").win()
-        _, held = journal(store, tenure)
+        lease = await LeaderElection(store, "a/1").acquire()
+        _, held = state_writer(store, lease)
         running = asyncio.create_task(held.run())
-        rival = asyncio.create_task(LeaderElection(store, "b/1").win())
+        rival = asyncio.create_task(LeaderElection(store, "b/1").acquire())
         await asyncio.sleep(5 * LEASE_EXPIRY_S)
         assert not rival.done()
         assert store.lease().holder == "a/1"
@@ -114,11 +114,11 @@
 def test_a_released_lease_is_taken_at_once():
     async def scene():
         store = MemoryStore()
-        tenure = await LeaderElection(store, "a/1").win()
-        _, held = journal(store, tenure)
+        lease = await LeaderElection(store, "a/1").acquire()
+        _, held = state_writer(store, lease)
         await held.release()
         async with asyncio.timeout(LEASE_EXPIRY_S / 2):
-            await LeaderElection(store, "b/1").win()
+            await LeaderElection(store, "b/1").acquire()
 
     run_virtual(scene())
 
@@ -128,9 +128,9 @@
 
     async def scene():
         store = MemoryStore()
-        first = await LeaderElection(store, "a/1").win()
+        first = await LeaderElection(store, "a/1").acquire()
         async with asyncio.timeout(LEASE_EXPIRY_S / 2):
-            second = await LeaderElection(store, "a/2").win()
+            second = await LeaderElection(store, "a/2").acquire()
         assert second.token > first.token
 
     run_virtual(scene())
@@ -140,9 +140,9 @@
     async def scene():
         store = MemoryStore()
         store.lose = 1
-        tenure = await LeaderElection(store, "a/1").win()
+        lease = await LeaderElection(store, "a/1").acquire()
         assert store.lease().holder == "a/1"
-        assert tenure.token == store.rows[LEASE_TABLE, LEASE_KEY].revision
+        assert lease.token == store.rows[LEASE_TABLE, LEASE_KEY].revision
 
     run_virtual(scene())
 
@@ -152,8 +152,8 @@
 
     async def scene():
         store = MemoryStore()
-        tenure = await LeaderElection(store, "a/1").win()
-        planner, held = journal(store, tenure)
+        lease = await LeaderElection(store, "a/1").acquire()
+        planner, held = state_writer(store, lease)
         await held.write()
         queue = Queue("q", "h", "/q/", "pool", 3.0, 0, 1, 1.0, 1.0, False, None)
         request = JobRequest("j", queue, "a", "s", (), 0.0)
@@ -180,8 +180,8 @@
 
     async def scene():
         store = MemoryStore()
-        tenure = await LeaderElection(store, "a/1").win()
-        planner, held = journal(store, tenure)
+        lease = await LeaderElection(store, "a/1").acquire()
+        planner, held = state_writer(store, lease)
         queue = Queue("q", "h", "/q/", "pool", 3.0, 0, 1, 1.0, 1.0, False, None)
         for number in range(2 * MAX_ROWS_PER_COMMIT + 1):
             request = JobRequest(f"j{number}", queue, "a", "s", (), 0.0)
@@ -206,8 +206,8 @@
 
     async def scene():
         store = MemoryStore()
-        tenure = await LeaderElection(store, "a/1").win()
-        planner, held = journal(store, tenure)
+        lease = await LeaderElection(store, "a/1").acquire()
+        planner, held = state_writer(store, lease)
         queue = Queue("q", "h", "/q/", "pool", 3.0, 0, 1, 1.0, 1.0, False, None)
         request = JobRequest("0" * 16, queue, "a", "s", (), 0.0)
         done = JobProgress(JobState.COMPLETED, "a", {}, finished_s=1.0)
@@ -231,8 +231,8 @@
 
     async def scene():
         store = MemoryStore()
-        tenure = await LeaderElection(store, "a/1").win()
-        _, held = journal(store, tenure)
+        lease = await LeaderElection(store, "a/1").acquire()
+        _, held = state_writer(store, lease)
         done = JobProgress(JobState.COMPLETED, "a", {}, finished_s=1.0)
         begun = JobProgress(JobState.RUNNING, "a", {})
         for name in ("done", "begun"):
@@ -256,11 +256,13 @@
         async def ended(address):
             await (killed if address == "ip:1" else asyncio.Event()).wait()
 
-        first = await LeaderElection(store, "a/1", "ip:1").win()
-        _, held = journal(store, first)
+        first = await LeaderElection(store, "a/1", "ip:1").acquire()
+        _, held = state_writer(store, first)
         running = asyncio.create_task(held.run())
         rivals = [
-            asyncio.create_task(LeaderElection(store, f"{name}/1", "ip:2", ended).win())
+            asyncio.create_task(
+                LeaderElection(store, f"{name}/1", "ip:2", ended).acquire()
+            )
             for name in "bc"
         ]
         await asyncio.sleep(3 * LEASE_EXPIRY_S)
@@ -307,8 +309,8 @@
     async def scene():
         store = MemoryStore()
         store.rows["summary", "waiting"] = StoreRow("summary", "waiting", b'{"q":7}', 1)
-        tenure = await LeaderElection(store, "a/1").win()
-        _, held = journal(store, tenure)
+        lease = await LeaderElection(store, "a/1").acquire()
+        _, held = state_writer(store, lease)
         await held.write()
         assert store.rows["summary", "waiting"].value == b'{"q":7}'
         held.enable_waiting_counts()
@@ -323,12 +325,14 @@
 
     async def scene():
         store = MemoryStore()
-        await LeaderElection(store, "a/1", "ip:1").win()
+        await LeaderElection(store, "a/1", "ip:1").acquire()
 
         async def ended(_address):
             await asyncio.Event().wait()
 
-        rival = asyncio.create_task(LeaderElection(store, "b/1", "ip:2", ended).win())
+        rival = asyncio.create_task(
+            LeaderElection(store, "b/1", "ip:2", ended).acquire()
+        )
         await asyncio.sleep(LEASE_EXPIRY_S / 4)
         rival.cancel()
         await asyncio.wait((rival,))
