--- a/libs/planner/src/bilberryhitch_planner/__init__.py
+++ b/libs/planner/src/bilberryhitch_planner/__init__.py
@@ -1,6 +1,5 @@
 """The planner of jobs: placement, leases, reclaim, takeover and its journal."""
 
-from .active_planner import ActivePlanner, Candidate
 from .errors import (
     Deposed,
     MachinesUnknown,
@@ -9,6 +8,7 @@
     WorkerUnreachable,
 )
 from .leader_election import LeaderElection, LeaderLease
+from .leading_planner import Candidate, LeadingPlanner
 from .planner import Planner
 from .reports import (
     Advice,
@@ -36,7 +36,7 @@
     "EndKind",
     "EndedTask",
     "HoldReport",
-    "ActivePlanner",
+    "LeadingPlanner",
     "Machine",
     "MachinesUnknown",
     "PaceOrder",
--- a/libs/planner/src/bilberryhitch_planner/active_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/leading_planner.py
@@ -50,7 +50,7 @@
 ISOLATION_GRACE_S = 3.0
 
 
-class ActivePlanner:
+class LeadingPlanner:
     """Everything that lives as long as one leader_lease.
 
     :param worker_table: table in which workers register themselves
@@ -322,11 +322,11 @@
     def __init__(
         self,
         acquire_lease: Callable[[], Coroutine[Any, Any, LeaderLease]],
-        create_planner: Callable[[LeaderLease], ActivePlanner],
+        create_planner: Callable[[LeaderLease], LeadingPlanner],
     ) -> None:
         self._acquire_lease = acquire_lease
         self._create_planner = create_planner
-        self._active: ActivePlanner | None = None
+        self._active: LeadingPlanner | None = None
         self._closing = False
         self._task: asyncio.Task[None] | None = None
 
@@ -372,7 +372,7 @@
             finally:
                 self._active = None
 
-    async def _release(self, planner: ActivePlanner) -> None:
+    async def _release(self, planner: LeadingPlanner) -> None:
         try:
             async with asyncio.timeout(RELEASE_TIMEOUT_S):
                 await planner.state_writer.release()
