--- a/libs/gangs/src/bilberryhitch_gangs/gang_stop.py
+++ b/libs/gangs/src/bilberryhitch_gangs/gang_stop.py
@@ -98,8 +98,8 @@
     if _never_started(gang, answers):
         return _requeued(record._replace(members=()), unstarted=True)
     if reason.cause == "cancel":
-        lapsed = any(answer is None for answer in answers.values())
-        detail = CANCELLED_LEASE_EXPIRED if lapsed else CANCELLED_AFTER_START
+        unconfirmed = any(answer is None for answer in answers.values())
+        detail = CANCELLED_LEASE_EXPIRED if unconfirmed else CANCELLED_AFTER_START
         return _finished(context, record, "cancelled", detail)
     if saved:
         return _requeued(record._replace(members=(), saved=saved))
--- a/libs/gangs/src/bilberryhitch_gangs/job_waiters.py
+++ b/libs/gangs/src/bilberryhitch_gangs/job_waiters.py
@@ -11,7 +11,7 @@
         self._events: dict[str, set[asyncio.Event]] = {}
 
     async def wait(self, job_id: str, timeout_s: float) -> None:
-        """Wait until the job is woken, at most ``timeout_s`` seconds."""
+        """Wait until :meth:`wake` is called for the job, or for ``timeout_s``."""
         event = asyncio.Event()
         events = self._events.setdefault(job_id, set())
         events.add(event)
