--- a/libs/scheduling/src/bilberryhitch_scheduling/allocator.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/allocator.py
@@ -46,11 +46,11 @@
         self._requeue_displaced = displace
         self._estimates = estimates
         self._unbound_adopted = AdoptedJobs(fleet, guarantees)
-        self._failed: set[tuple[str, Shape]] = set()
+        self._failed_searches: set[tuple[str, Shape]] = set()
 
     def clear_failed_searches(self) -> None:
         """Allow searches that failed to be repeated, because capacity became free."""
-        self._failed.clear()
+        self._failed_searches.clear()
 
     def allocate(
         self, job: Job, may_preempt: bool, now: float
@@ -146,7 +146,7 @@
     def _allocate_guaranteed(self, job: Job, now: float) -> dict[str, None] | None:
         account = job.spec.client_account
         memo = (account, job.shape)
-        if memo in self._failed:
+        if memo in self._failed_searches:
             return None
         for key in self.guarantees.keys(account):
             if not self.fits_guarantee(job, key):
@@ -159,7 +159,7 @@
             found = self._bind_new_cell(job, key, now)
             if found is not None:
                 return found
-        self._failed.add(memo)
+        self._failed_searches.add(memo)
         return None
 
     def _bind_new_cell(
@@ -243,7 +243,7 @@
             if members is not None:
                 return self._assign(job, members, None)
         memo = ("", job.shape)
-        if memo in self._failed and not may_preempt:
+        if memo in self._failed_searches and not may_preempt:
             return None
         placements = spare_placements(self.fleet, job.shape)
         if may_preempt:
@@ -253,7 +253,7 @@
         for members in placements:
             if self.keeps_guarantees(members):
                 return self._assign(job, members, None)
-        self._failed.add(memo)
+        self._failed_searches.add(memo)
         return None
 
     def keeps_guarantees(self, members: list[Member]) -> bool:
@@ -283,14 +283,14 @@
         score = neighbour_score(self.fleet, now + job.expected_s)
         find = partial(find_free_members, self.fleet, job.shape, score)
         memo = ("*", job.shape)
-        if memo not in self._failed:
+        if memo not in self._failed_searches:
             members = find()
             if members is not None:
                 return members
-            self._failed.add(memo)
+            self._failed_searches.add(memo)
         for reservation in self.reservations:
             memo = (f"in {reservation.job.job_id}", job.shape)
-            if memo in self._failed:
+            if memo in self._failed_searches:
                 continue
             own = reservation.job is job
             if own or self._admits_backfill(reservation, job, now):
@@ -299,7 +299,7 @@
                 self.reservations.hold(reservation, True)
                 if members is not None:
                     return members
-                self._failed.add(memo)
+                self._failed_searches.add(memo)
         return None
 
     def _admits_backfill(
--- a/libs/scheduling/src/bilberryhitch_scheduling/cell_search.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/cell_search.py
@@ -32,13 +32,13 @@
         buckets = index.partial[kind]
         for available in range(needed, size):
             if buckets.get(available):
-                yield _sample(iter(buckets[available]))
+                yield _first(iter(buckets[available]))
     around = {
         (tree.kinds[h].size, h, k) for k in kinds for h in tree.containing_kinds(k)
     }
     for _, holder, kind in sorted(around):
         if index.maximal[holder]:
-            yield _sample(_cells_inside(tree, index, holder, kind))
+            yield _first(_inside(tree, index, holder, kind))
 
 
 def place_in_cell(
@@ -110,13 +110,11 @@
     return score
 
 
-def _sample(cells: Iterator[int]) -> list[int]:
+def _first(cells: Iterator[int]) -> list[int]:
     return [cell for cell, _ in zip(cells, range(MAX_EQUAL_CELLS), strict=False)]
 
 
-def _cells_inside(
-    tree: CellTree, index: CellIndex, holder: int, kind: int
-) -> Iterator[int]:
+def _inside(tree: CellTree, index: CellIndex, holder: int, kind: int) -> Iterator[int]:
     for cell in index.maximal[holder]:
         yield from tree.cells_inside(cell, kind)
 
@@ -136,7 +134,7 @@
     available: AvailableCount,
     cell: int,
     shape: Shape,
-    to: list[Member],
+    result: list[Member],
 ) -> None:
     """Place tasks into the best-fitting child, or into the largest until one fits."""
     row = fleet.tree.cells[cell]
@@ -150,26 +148,28 @@
             shape.tasks * fleet.accelerators_per_task(host, shape),
             taken,
         )
-        to.append(fleet.make_member(host, taken, shape.tasks))
+        result.append(fleet.make_member(host, taken, shape.tasks))
         return
     room = {child: _tasks_in(fleet, available, child, shape) for child in row.children}
     for child, given in _best_fit(room, shape.tasks):
-        _fill_cell(fleet, available, child, shape._replace(tasks=given), to)
+        _fill_cell(fleet, available, child, shape._replace(tasks=given), result)
 
 
 def _take(
-    tree: CellTree, available: AvailableCount, cell: int, count: int, to: list[int]
+    tree: CellTree, available: AvailableCount, cell: int, count: int, result: list[int]
 ) -> None:
+    """Append ``count`` accelerators of a cell to ``result``."""
     row = tree.cells[cell]
     if not row.children:
-        to.append(row.start)
+        result.append(row.start)
         return
     room = {child: available(child) for child in row.children}
     for child, given in _best_fit(room, count):
-        _take(tree, available, child, given, to)
+        _take(tree, available, child, given, result)
 
 
 def _best_fit(room: dict[int, int], wanted: int) -> Iterator[tuple[int, int]]:
+    """Yield the children to use, with the amount to take from each."""
     while wanted:
         fitting = [child for child in room if room[child] >= wanted]
         if fitting:
@@ -192,14 +192,14 @@
     cores = usage.free_cores - member.tasks * shape.cores
     memory_gb = usage.free_memory_gb - member.tasks * shape.memory_gb
     jobs = [fleet.jobs[job_id] for job_id in reversed(usage.jobs)]
-    going = [job for job in jobs if job.job_id in found]
+    chosen = [job for job in jobs if job.job_id in found]
     evicting = [job for job in jobs if job.evicting and job.job_id not in found]
     others = [
         job
         for job in jobs
         if not (job.protected or job.allocated_accelerators or job.evicting)
     ]
-    for job in (*going, *evicting, *others):
+    for job in (*chosen, *evicting, *others):
         if job.job_id not in found and cores >= 0 and memory_gb >= 0:
             return
         found[job.job_id] = None
--- a/libs/scheduling/src/bilberryhitch_scheduling/gang_reservations.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/gang_reservations.py
@@ -169,15 +169,17 @@
 
     def _free_at(self, host: str, now: float) -> float:
         usage = self._fleet.hosts[host]
-        return max((self._end(job, now) for job in self._using(usage)), default=now)
+        return max(
+            (self._expected_end(job, now) for job in self._jobs_on(usage)), default=now
+        )
 
-    def _using(self, usage: HostUsage) -> Iterator[Job]:
+    def _jobs_on(self, usage: HostUsage) -> Iterator[Job]:
         for job_id in usage.jobs:
             job = self._fleet.jobs[job_id]
             if job.allocated_accelerators:
                 yield job
 
-    def _end(self, job: Job, now: float) -> float:
+    def _expected_end(self, job: Job, now: float) -> float:
         expected = job.started_at + job.expected_p90_s
         ran = now - job.started_at
         return expected if expected > now else now + max(1.0, OVERRUN_FRACTION * ran)
--- a/libs/scheduling/src/bilberryhitch_scheduling/guaranteed_cells.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/guaranteed_cells.py
@@ -160,7 +160,7 @@
         bound = BoundCell(key, cell)
         self._bound_by_key.setdefault(key, []).append(bound)
         self._bound_by_cell[cell] = bound
-        self._reclaimable.mark(self._range(cell))
+        self._reclaimable.mark(self._accelerators_in(cell))
         self._changes += 1
         return bound
 
@@ -168,7 +168,7 @@
         """Return a bound cell to the unbound cells of its guarantee."""
         self._bound_by_key[bound.key].remove(bound)
         del self._bound_by_cell[bound.cell]
-        self._reclaimable.unmark(self._range(bound.cell))
+        self._reclaimable.unmark(self._accelerators_in(bound.cell))
         self._changes += 1
 
     def bound_cell_around(self, cell: int) -> BoundCell | None:
@@ -236,6 +236,6 @@
                 missing[key] = given
         return missing
 
-    def _range(self, cell: int) -> range:
+    def _accelerators_in(self, cell: int) -> range:
         start = self._tree.cells[cell].start
         return range(start, start + self._tree.cells[cell].size)
