--- a/libs/telemetry/src/bilberryhitch_telemetry/__init__.py
+++ b/libs/telemetry/src/bilberryhitch_telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Numbered log events and OpenTelemetry metrics."""
+"""Structured log events and OpenTelemetry metrics."""
 
 from . import events, metrics
 from .events import Event
--- a/libs/telemetry/src/bilberryhitch_telemetry/metrics.py
+++ b/libs/telemetry/src/bilberryhitch_telemetry/metrics.py
@@ -1,7 +1,6 @@
 """OpenTelemetry instruments and their export.
 
-Instruments may be used before :func:`start_metrics`; they record nothing until
-then.
+Values that are recorded before :func:`start_metrics` is called are dropped.
 """
 
 from opentelemetry import metrics as otel
@@ -10,7 +9,7 @@
 from opentelemetry.sdk.metrics.export import MetricReader
 from prometheus_client import REGISTRY, generate_latest
 
-OTLP_PERIOD_MS = 15_000
+OTLP_EXPORT_INTERVAL_MS = 15_000
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 _meter = otel.get_meter("bilberryhitch")
@@ -76,14 +75,14 @@
 
 
 def start_metrics(otlp_endpoint: str = "") -> MeterProvider:
-    """Export the instruments of this process.
+    """Start the export of the instruments, to Prometheus and optionally to OTLP.
 
     :param otlp_endpoint: URL that receives OTLP over HTTP; empty for none
-    :returns: the provider, to be shut down when the process ends
+    :returns: the meter provider, which the caller shuts down at the end
     """
     readers: list[MetricReader] = [PrometheusMetricReader()]
     if otlp_endpoint:
-        readers.append(_otlp_reader(otlp_endpoint))
+        readers.append(_create_otlp_reader(otlp_endpoint))
     provider = MeterProvider(metric_readers=readers)
     otel.set_meter_provider(provider)
     return provider
@@ -94,9 +93,9 @@
     return generate_latest(REGISTRY)
 
 
-def _otlp_reader(endpoint: str) -> MetricReader:
-    # Imported only when an endpoint is configured: the exporter and its
-    # protocol library take memory from the daemon's control budget.
+def _create_otlp_reader(endpoint: str) -> MetricReader:
+    # Imported only if an endpoint is configured, as the exporter and its protocol
+    # library take memory from the daemon's budget.
     from opentelemetry.exporter.otlp.proto.http.metric_exporter import (  # noqa: PLC0415
         OTLPMetricExporter,
     )
@@ -106,5 +105,5 @@
 
     return PeriodicExportingMetricReader(
         OTLPMetricExporter(endpoint=endpoint),
-        export_interval_millis=OTLP_PERIOD_MS,
+        export_interval_millis=OTLP_EXPORT_INTERVAL_MS,
     )
--- a/libs/telemetry/tests/test_logs.py
+++ b/libs/telemetry/tests/test_logs.py
@@ -4,7 +4,7 @@
 
 import pytest
 from bilberryhitch_telemetry import events, log, start_logs
-from bilberryhitch_telemetry.logs import BURST_LINES, LineBudget
+from bilberryhitch_telemetry.logs import MAX_BURST_LINES, LineRateLimiter
 
 
 @pytest.fixture
@@ -23,8 +23,8 @@
     assert line["error"] == "ValueError: x\ny"
 
 
-def test_credentials_are_not_written(lines):
-    # Guards against tokens reaching log storage, also in nested fields.
+def test_credentials_are_redacted(lines):
+    # Guards against credentials in logs, also in nested fields.
     log(
         events.UNAUTHENTICATED_CALL,
         bearer_token="s3cret",
@@ -33,21 +33,21 @@
     assert "s3cret" not in json.dumps(lines())
 
 
-def test_lower_levels_are_left_out(lines):
+def test_events_below_the_level_are_not_written(lines):
     log(events.GANG_RESERVED, job_id="ruwi.p.1")
     assert lines() == []
 
 
-def test_library_messages_are_json_too(lines):
-    # Guards against plain-text lines that break the log reader.
+def test_library_messages_are_json_lines(lines):
+    # Guards against plain-text lines, which a log collector cannot parse.
     logging.getLogger("asyncio").error("braces %s", "{0}")
     assert lines()[0]["message"] == "braces {0}"
 
 
-def test_the_number_of_lines_is_bounded_and_the_rest_counted():
-    """Guards against a flood of lines that takes the processor from the work."""
-    budget = LineBudget()
-    written = [budget.take(0.0) for _ in range(BURST_LINES + 50)]
-    assert written.count(None) >= 49
-    assert budget.take(1e9) >= 49
-    assert budget.take(1e9) == 0
+def test_lines_beyond_the_limit_are_dropped_and_counted():
+    """Guards against a flood of log lines that starves the process of CPU time."""
+    limiter = LineRateLimiter()
+    results = [limiter.acquire(0.0) for _ in range(MAX_BURST_LINES + 50)]
+    assert results.count(None) >= 49
+    assert limiter.acquire(1e9) >= 49
+    assert limiter.acquire(1e9) == 0
--- a/libs/telemetry/tests/test_metrics.py
+++ b/libs/telemetry/tests/test_metrics.py
@@ -16,5 +16,5 @@
 
 
 def test_scrape_shows_instruments_without_loading_the_otlp_exporter():
-    # The meter provider is global to a process, so the test has its own.
+    # The meter provider is global to a process, so the test runs one of its own.
     subprocess.run([sys.executable, "-c", SCRIPT], check=True)
