--- a/libs/telemetry/src/bilberryhitch_telemetry/logs.py
+++ b/libs/telemetry/src/bilberryhitch_telemetry/logs.py
@@ -24,7 +24,7 @@
 MAX_BURST_LINES = 4_000
 MAX_LINES_PER_S = 400
 # Any caller can send long values, which would make a line unreadable.
-MAX_VALUE_CHARS = 2_000
+MAX_LOG_VALUE_CHARS = 2_000
 
 
 def start_logs(
@@ -145,14 +145,14 @@
         return [_sanitise(name, item) for item in value]
     if isinstance(value, BaseException):
         return _format_error(value)
-    return str(value)[:MAX_VALUE_CHARS]
+    return str(value)[:MAX_LOG_VALUE_CHARS]
 
 
 def _format_error(error: BaseException) -> str:
     """Return the class and text of an error and the location that raised it."""
     frames = traceback.extract_tb(error.__traceback__)
     location = f" at {frames[-1].name}:{frames[-1].lineno}" if frames else ""
-    return f"{type(error).__name__}: {error}{location}"[:MAX_VALUE_CHARS]
+    return f"{type(error).__name__}: {error}{location}"[:MAX_LOG_VALUE_CHARS]
 
 
 class _LibraryHandler(logging.Handler):
