--- a/libs/settings/src/bilberryhitch_settings/__init__.py
+++ b/libs/settings/src/bilberryhitch_settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings files: JSON with comments, a typed schema, limits."""
+"""Settings files: JSON with comments, validated against a typed schema."""
 
 from .settings import Caller, Limits, Platform, Settings, load_settings
 
--- a/libs/settings/src/bilberryhitch_settings/settings.py
+++ b/libs/settings/src/bilberryhitch_settings/settings.py
@@ -16,16 +16,16 @@
 from bilberryhitch_model.errors import BadInput, SettingsInvalid
 from expression import Error, Ok, Result
 
-from .schema import LimitsFile, SettingsFile
+from .schema import LimitsSection, SettingsFile
 
 MAX_FILE_BYTES = 4 << 20
 _SECRET_PATHS = ("$.platform.token", "$.operators", "$.callers")
 
-Limits = LimitsFile
+Limits = LimitsSection
 
 
 class Platform(NamedTuple):
-    """Where the platform is; the token is left out of its text form."""
+    """URL of the platform and the bearer token for it, which ``repr`` redacts."""
 
     url: str
     token: str
@@ -35,18 +35,18 @@
 
 
 class Caller(NamedTuple):
-    """Who a caller token stands for."""
+    """The client account and caller that a token authenticates."""
 
     client_account: str
     caller: str
 
 
 class Settings(NamedTuple):
-    """Checked settings.
+    """Validated settings.
 
-    :param operators: lower-case hex SHA-256 of the token, by operator name
-    :param callers: who is calling, by lower-case hex SHA-256 of the token
-    :param otlp_endpoint: URL that receives metrics, or empty
+    :param operators: lower-case hex SHA-256 digests of the tokens, by operator name
+    :param callers: callers by the lower-case hex SHA-256 digest of their token
+    :param otlp_endpoint: URL that receives metrics over OTLP; empty for none
     """
 
     host: str
@@ -63,10 +63,10 @@
 
 
 def load_settings(path: Path) -> Result[Settings, SettingsInvalid]:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
-    :returns: the settings, or the first fault with file, line or path, value
-        and rule; credentials are never part of the value
+    :returns: the settings, or the first error with file, line or path, value and
+        rule; the value never contains credentials
     """
     file = str(path)
     try:
@@ -75,8 +75,8 @@
         if len(data) > MAX_FILE_BYTES:
             rule = f"has at most {MAX_FILE_BYTES} bytes"
             return Error(SettingsInvalid(file, "$", "", rule))
-        plain = parse_jsonc(data.decode())
-        checked = msgspec.convert(plain, SettingsFile)
+        document = parse_jsonc(data.decode())
+        content = msgspec.convert(document, SettingsFile)
     except OSError as error:
         return Error(SettingsInvalid(file, "$", "", f"is readable: {error.strerror}"))
     except UnicodeDecodeError as error:
@@ -84,34 +84,34 @@
     except BadInput as error:
         return Error(SettingsInvalid(file, error.field, "", error.rule))
     except msgspec.ValidationError as error:
-        return Error(_schema_error(file, plain, error))
-    for violation in _violations(file, checked):
+        return Error(_schema_error(file, document, error))
+    for violation in _find_violations(file, content):
         return Error(violation)
-    return Ok(_settings(checked))
+    return Ok(_to_settings(content))
 
 
 def _schema_error(
-    file: str, plain: Any, error: msgspec.ValidationError
+    file: str, document: Any, error: msgspec.ValidationError
 ) -> SettingsInvalid:
-    rule, _, place = str(error).partition(" - at `")
-    path = place.rstrip("`") or "$"
-    secret = any(path.startswith(prefix) for prefix in _SECRET_PATHS)
-    value = "" if secret or path == "$" else value_at(plain, path)
+    rule, _, location = str(error).partition(" - at `")
+    path = location.rstrip("`") or "$"
+    is_secret = any(path.startswith(prefix) for prefix in _SECRET_PATHS)
+    value = "" if is_secret or path == "$" else value_at(document, path)
     if isinstance(value, Mapping | list):
         value = ""
     return SettingsInvalid(file, path, shorten_value(value), rule)
 
 
-def _violations(file: str, checked: SettingsFile) -> Iterator[SettingsInvalid]:
-    """Yield what the schema cannot express."""
-    addresses = {"$.api.ip": checked.api.ip, "$.peer.ip": checked.peer.ip}
-    names = {checked.identity.host}
-    for index, peer in enumerate(checked.peers):
+def _find_violations(file: str, content: SettingsFile) -> Iterator[SettingsInvalid]:
+    """Yield violations of rules that the schema cannot express."""
+    addresses = {"$.api.ip": content.api.ip, "$.peer.ip": content.peer.ip}
+    host_names = {content.identity.host}
+    for index, peer in enumerate(content.peers):
         addresses[f"$.peers[{index}].ip"] = peer.ip
-        if peer.host in names:
+        if peer.host in host_names:
             rule = "is named once and is not this host"
             yield SettingsInvalid(file, f"$.peers[{index}].host", peer.host, rule)
-        names.add(peer.host)
+        host_names.add(peer.host)
         if peer.port == 0:
             path = f"$.peers[{index}].port"
             yield SettingsInvalid(file, path, 0, "is a port to connect to")
@@ -120,31 +120,31 @@
             ipaddress.ip_address(text)
         except ValueError:
             yield SettingsInvalid(file, path, text, "is an IP number")
-    if len(set(checked.operators.values())) < len(checked.operators):
+    if len(set(content.operators.values())) < len(content.operators):
         yield SettingsInvalid(file, "$.operators", "", "has one token per operator")
-    shared = set(checked.operators.values()) & set(checked.callers)
-    if shared:
+    shared_tokens = set(content.operators.values()) & set(content.callers)
+    if shared_tokens:
         rule = "has no token that is an operator's"
         yield SettingsInvalid(file, "$.callers", "", rule)
 
 
-def _settings(checked: SettingsFile) -> Settings:
+def _to_settings(content: SettingsFile) -> Settings:
     return Settings(
-        host=checked.identity.host,
-        data_centre=checked.identity.data_centre,
-        api_address=Address(checked.api.ip, checked.api.port),
-        peer_address=Address(checked.peer.ip, checked.peer.port),
+        host=content.identity.host,
+        data_centre=content.identity.data_centre,
+        api_address=Address(content.api.ip, content.api.port),
+        peer_address=Address(content.peer.ip, content.peer.port),
         peers=tuple(
             PeerAddress(peer.host, peer.data_centre, Address(peer.ip, peer.port))
-            for peer in checked.peers
+            for peer in content.peers
         ),
-        platform=Platform(checked.platform.url, checked.platform.token),
-        operators=checked.operators,
+        platform=Platform(content.platform.url, content.platform.token),
+        operators=content.operators,
         callers={
             digest: Caller(caller.client_account, caller.caller)
-            for digest, caller in checked.callers.items()
+            for digest, caller in content.callers.items()
         },
-        limits=checked.limits,
-        log_level=checked.log_level,
-        otlp_endpoint=checked.otlp_endpoint or "",
+        limits=content.limits,
+        log_level=content.log_level,
+        otlp_endpoint=content.otlp_endpoint or "",
     )
--- a/libs/settings/tests/test_settings.py
+++ b/libs/settings/tests/test_settings.py
@@ -5,7 +5,7 @@
 from bilberryhitch_settings import load_settings
 
 EXAMPLES = Path(__file__).parents[3] / "examples"
-# Data centres and workers per rack of each deployment.
+# Data centres of each deployment, and its number of workers per rack.
 DEPLOYMENTS = {
     "muscat": (("ruwi", "mutrah", "seeb", "qurum"), 6),
     "rabat": (("rabat-a", "kenitra-b", "tanger-c"), 8),
@@ -21,16 +21,16 @@
 
 @pytest.mark.parametrize("deployment", DEPLOYMENTS)
 def test_example_tables_are_valid(deployment):
-    # Guards against examples that the product itself refuses.
-    centres, count = DEPLOYMENTS[deployment]
+    # Guards against example files that fail validation.
+    data_centres, count = DEPLOYMENTS[deployment]
     hosts = [
         Host(f"{c}-worker-{n}", "worker", c, "", rack=c, position=n - 1, accelerators=8)
-        for c in centres
+        for c in data_centres
         for n in range(1, count + 1)
     ]
     hosts += [
         Host(f"{centre}-executor-{n}", "executor", centre, "")
-        for centre in centres
+        for centre in data_centres
         for n in range(1, count + 1)
     ]
     text = (EXAMPLES / f"{deployment}-tables.jsonc").read_text(encoding="utf-8")
@@ -41,7 +41,7 @@
     assert validate_tables(tables, hosts).is_ok()
 
 
-REPLACED = [
+INVALID_EDITS = [
     ('"port": 8080', '"port": 80800', "$.api.port", 80800),
     ('"ip": "10.20.1.1", "port": 8080', '"ip": "10.20.1.999"', "$.api", ""),
     ('"ip": "10.20.1.1", "port": 7', '"ip": "1.2.3", "port": 7', "$.peer.ip", "1.2.3"),
@@ -53,8 +53,8 @@
 ]
 
 
-@pytest.mark.parametrize(("old", "new", "path", "value"), REPLACED)
-def test_broken_settings_name_the_place(tmp_path, old, new, path, value):
+@pytest.mark.parametrize(("old", "new", "path", "value"), INVALID_EDITS)
+def test_invalid_settings_are_reported_with_their_path(tmp_path, old, new, path, value):
     text = (EXAMPLES / "muscat-ruwi-1.jsonc").read_text(encoding="utf-8")
     assert old in text
     file = tmp_path / "settings.jsonc"
