--- a/libs/planner/src/bilberryhitch_planner/reports.py
+++ b/libs/planner/src/bilberryhitch_planner/reports.py
@@ -128,7 +128,7 @@
     run: int
 
 
-class PaceOrder(NamedTuple):
+class ThrottleOrder(NamedTuple):
     """The share of its processor time at which a run may work.
 
     :param percent: 0 to 100
@@ -159,4 +159,4 @@
     valid_s: float
 
 
-Order = StartOrder | StopOrder | PaceOrder
+Order = StartOrder | StopOrder | ThrottleOrder
--- a/libs/planner/src/bilberryhitch_planner/throttling.py
+++ b/libs/planner/src/bilberryhitch_planner/throttling.py
@@ -1,6 +1,6 @@
 """Slows tasks that use spare processor time where they disturb tasks that serve."""
 
-from .reports import PaceOrder
+from .reports import ThrottleOrder
 from .runs import Run, RunState
 from .workers import Worker
 
@@ -25,7 +25,7 @@
     return {"serves", "fills"} <= kinds
 
 
-def throttle_orders(worker: Worker, now: float) -> list[PaceOrder]:
+def throttle_orders(worker: Worker, now: float) -> list[ThrottleOrder]:
     """Return orders that bring a worker's filling tasks to the pace they may have."""
     runs = [run for run in worker.runs.values() if run.state is RunState.RUNNING]
     filling = [run for run in runs if _workload_kind(run) == "fills"]
@@ -54,7 +54,7 @@
             now,
             True,
         )
-        orders.append(PaceOrder(run.worker, run.task, run.number, cpu_percent))
+        orders.append(ThrottleOrder(run.worker, run.task, run.number, cpu_percent))
     return orders
 
 
--- a/libs/planner/src/bilberryhitch_planner/worker_calls.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_calls.py
@@ -4,7 +4,7 @@
 
 from .reports import (
     HoldReport,
-    PaceOrder,
+    ThrottleOrder,
     StartOrder,
     StartOutcome,
     StopOrder,
@@ -32,7 +32,7 @@
         """Stop a run and bar its number."""
 
     async def pace_run(
-        self, worker: WorkerEntry, order: PaceOrder, *, token: int
+        self, worker: WorkerEntry, order: ThrottleOrder, *, token: int
     ) -> bool:
         """Set a run's pace and return whether the worker took the order."""
 
--- a/libs/planner/src/bilberryhitch_planner/worker_session.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_session.py
@@ -13,7 +13,7 @@
 from .reports import (
     HoldReport,
     Order,
-    PaceOrder,
+    ThrottleOrder,
     StartOrder,
     StartOutcome,
     StopOrder,
@@ -116,7 +116,7 @@
         """
         if isinstance(order, StartOrder):
             await self._send_start(order)
-        elif isinstance(order, PaceOrder):
+        elif isinstance(order, ThrottleOrder):
             await self._send_throttle(order)
         else:
             await self._send_stop(order)
@@ -193,7 +193,7 @@
                 return
             await asyncio.sleep(RETRY_PAUSE_S)
 
-    async def _send_throttle(self, order: PaceOrder) -> None:
+    async def _send_throttle(self, order: ThrottleOrder) -> None:
         """Send once; the pace is ordered again while it matters."""
         worker = self._planner.workers.get(self._name)
         if worker is None or (order.task, order.run) not in worker.runs:
--- a/libs/planner/tests/test_throttling.py
+++ b/libs/planner/tests/test_throttling.py
@@ -2,7 +2,7 @@
 
 import pytest
 from bilberryhitch_planner import RunningTask
-from bilberryhitch_planner.reports import PaceOrder
+from bilberryhitch_planner.reports import ThrottleOrder
 from bilberryhitch_testing.planner_world import World, entry, queue, request, step
 
 TARGET_S = 0.2
@@ -29,7 +29,7 @@
             RunningTask(self.filling.task, self.filling.run, "", self.now, 500.0),
         ]
         self.report("w1", lists[: 2 if filling else 1])
-        return [order.percent for order in self.plan() if isinstance(order, PaceOrder)]
+        return [order.percent for order in self.plan() if isinstance(order, ThrottleOrder)]
 
 
 def test_filling_tasks_are_slowed_until_the_serving_task_is_below_its_bound():
@@ -64,4 +64,4 @@
     for _ in range(8):
         world.look(250.0)
     world.now += 10.0
-    assert not [order for order in world.plan() if not isinstance(order, PaceOrder)]
+    assert not [order for order in world.plan() if not isinstance(order, ThrottleOrder)]
--- a/tests/adapter/test_machines.py
+++ b/tests/adapter/test_machines.py
@@ -15,7 +15,7 @@
 from bilberryhitch_planner import (
     Machine,
     MachinesUnknown,
-    PaceOrder,
+    ThrottleOrder,
     UpkeepOutcome,
     Wave,
     WorkerEntry,
@@ -115,7 +115,7 @@
         worker = WorkerEntry(
             "i-1", "p", listener.address, "dc", Resources(), set(), "r"
         )
-        order = PaceOrder("i-1", TaskName("0" * 16, 0, 1, 2), 3, 40)
+        order = ThrottleOrder("i-1", TaskName("0" * 16, 0, 1, 2), 3, 40)
         try:
             assert await client.pace_run(worker, order, token=7) is taken
         finally:
