--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -23,7 +23,7 @@
     Advice,
     AdviseOrder,
     EndKind,
-    HoldReport,
+    HeartbeatReply,
     Order,
     StartOrder,
     StartOutcome,
@@ -222,7 +222,7 @@
     def report(
         self,
         name: str,
-        report: HoldReport,
+        report: HeartbeatReply,
         *,
         sent_at: float,
         now: float,
--- a/libs/planner/src/bilberryhitch_planner/reports.py
+++ b/libs/planner/src/bilberryhitch_planner/reports.py
@@ -67,7 +67,7 @@
     saved: str = ""
 
 
-class HoldReport(NamedTuple):
+class HeartbeatReply(NamedTuple):
     """A worker's answer to an extension of its lease.
 
     :param clock_s: the worker's steady clock
--- a/libs/planner/src/bilberryhitch_planner/worker_calls.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_calls.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 from .reports import (
-    HoldReport,
+    HeartbeatReply,
     ThrottleOrder,
     StartOrder,
     StartOutcome,
@@ -44,7 +44,7 @@
         acknowledged: int,
         lease_until_s: float | None,
         wait_s: float,
-    ) -> HoldReport:
+    ) -> HeartbeatReply:
         """Extend the lease, acknowledge ends and wait for another one.
 
         :raises WorkerFenced: if a later planner has called the worker
--- a/libs/planner/src/bilberryhitch_planner/worker_session.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_session.py
@@ -11,7 +11,7 @@
 from .leader_election import LeaderLease
 from .planner import Planner
 from .reports import (
-    HoldReport,
+    HeartbeatReply,
     Order,
     ThrottleOrder,
     StartOrder,
@@ -122,7 +122,7 @@
             await self._send_stop(order)
         self._on_change()
 
-    async def _send_heartbeat(self, sent_at: float, wait_s: float) -> HoldReport:
+    async def _send_heartbeat(self, sent_at: float, wait_s: float) -> HeartbeatReply:
         worker = self._planner.workers[self._name]
         limit = min(sent_at + LEASE_S, self._state_writer.worker_lease_limit)
         lease = None
@@ -140,7 +140,7 @@
         self._synced = True
         return report
 
-    async def _acknowledge(self, report: HoldReport) -> bool:
+    async def _acknowledge(self, report: HeartbeatReply) -> bool:
         """Return whether the ends may be acknowledged by the next look."""
         if not await self._state_writer.flush(FLUSH_TIMEOUT_S):
             return False
--- a/libs/standins/src/bilberryhitch_standins/task_workers.py
+++ b/libs/standins/src/bilberryhitch_standins/task_workers.py
@@ -10,7 +10,7 @@
 from bilberryhitch_planner import (
     EndedTask,
     EndKind,
-    HoldReport,
+    HeartbeatReply,
     RunningTask,
     StartOutcome,
     StopOutcome,
@@ -247,7 +247,7 @@
         acknowledged: int,
         lease_until_s: float | None,
         now: float,
-    ) -> HoldReport | None:
+    ) -> HeartbeatReply | None:
         """Answer a hold; None for a token that is too low."""
         if not self._admit(token):
             return None
@@ -258,7 +258,7 @@
             RunningTask(task, run.number, self._checkpoint(run), run.percent())
             for task, run in self._runs.items()
         )
-        return HoldReport(now + self.clock_offset, 0, running, tuple(self._ends))
+        return HeartbeatReply(now + self.clock_offset, 0, running, tuple(self._ends))
 
     def advance(self, now: float) -> None:
         """Let time pass."""
--- a/libs/testing/src/bilberryhitch_testing/planner_world.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_world.py
@@ -18,7 +18,7 @@
 from bilberryhitch_planner import (
     EndedTask,
     EndKind,
-    HoldReport,
+    HeartbeatReply,
     Planner,
     RunningTask,
     StartOrder,
@@ -117,7 +117,7 @@
         """Let a worker list its runs and extend its lease."""
         self.planner.report(
             worker,
-            HoldReport(self.now, born, tuple(running), tuple(ended)),
+            HeartbeatReply(self.now, born, tuple(running), tuple(ended)),
             sent_at=self.now,
             now=self.now,
             unix_s=UNIX + self.now,
