--- a/libs/planner/src/bilberryhitch_planner/__init__.py
+++ b/libs/planner/src/bilberryhitch_planner/__init__.py
@@ -12,7 +12,7 @@
 from .planner import Planner
 from .reports import (
     Advice,
-    AdviseOrder,
+    AdviceRequest,
     EndedTask,
     EndKind,
     HeartbeatReply,
@@ -29,7 +29,7 @@
 
 __all__ = [
     "Advice",
-    "AdviseOrder",
+    "AdviceRequest",
     "LeaderElection",
     "Candidate",
     "Deposed",
--- a/libs/planner/src/bilberryhitch_planner/advice.py
+++ b/libs/planner/src/bilberryhitch_planner/advice.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 
 from .placement import task_slots
-from .reports import AdviseOrder
+from .reports import AdviceRequest
 from .units import StepOccurrence
 from .workers import Worker
 
@@ -40,7 +40,7 @@
 
     def next_request(
         self, step: StepOccurrence, workers: Sequence[Worker], now: float
-    ) -> AdviseOrder | None:
+    ) -> AdviceRequest | None:
         """Return whom to ask about, or None while an answer is due."""
         if now < self._ask_after:
             return None
@@ -63,7 +63,7 @@
         if terms is not None:
             due_s += terms.base_latency_s + terms.latency_per_worker_s * len(names)
         self._ask_after = now + due_s
-        return AdviseOrder(step.job.request.job, step.occurrence, step.index, names)
+        return AdviceRequest(step.job.request.job, step.occurrence, step.index, names)
 
     def apply_reply(
         self, asked: Sequence[str], granted: dict[str, str], valid_until: float
--- a/libs/planner/src/bilberryhitch_planner/leading_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/leading_planner.py
@@ -23,7 +23,7 @@
 from .event_wait import wait_for_event
 from .leader_election import WORKER_LEASE_HORIZON_S, LeaderLease
 from .planner import Planner
-from .reports import Advice, AdviseOrder, WorkerEntry
+from .reports import Advice, AdviceRequest, WorkerEntry
 from .state_writer import StateWriter, read_progress, read_roster
 from .upkeep import UpkeepCalls, UpkeepController, Wave
 from .worker_calls import WorkerCalls
@@ -69,7 +69,7 @@
         worker_table: str,
         decode_worker: Callable[[StoreRow], WorkerEntry | None],
         configuration: Callable[[], Configuration | None],
-        advise: Callable[[AdviseOrder], Awaitable[Advice | None]],
+        advise: Callable[[AdviceRequest], Awaitable[Advice | None]],
         machines: UpkeepCalls,
         waves: Callable[[], Iterable[Wave]],
         encode_wave: Callable[[int, bool], RowWrite],
@@ -168,7 +168,7 @@
             self.state_writer.notify()
             self._check_isolation(now)
 
-    async def _ask(self, question: AdviseOrder) -> None:
+    async def _ask(self, question: AdviceRequest) -> None:
         advice = await self._advise(question)
         self.planner.apply_advice(question, advice, now=time.monotonic())
         self._changed()
--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -21,7 +21,7 @@
 from .ordering import step_sort_key
 from .reports import (
     Advice,
-    AdviseOrder,
+    AdviceRequest,
     EndKind,
     HeartbeatReply,
     Order,
@@ -78,7 +78,7 @@
         # When a worker ended at an address, and its failures until then.
         self._recent_ends: dict[str, tuple[float, int]] = {}
         self._reservations: Reservations | None = None
-        self.advice_requests: list[AdviseOrder] = []
+        self.advice_requests: list[AdviceRequest] = []
 
     @property
     def jobs(self) -> dict[str, TrackedJob]:
@@ -322,7 +322,7 @@
             run.settled_at = now
 
     def apply_advice(
-        self, order: AdviseOrder, advice: Advice | None, *, now: float
+        self, order: AdviceRequest, advice: Advice | None, *, now: float
     ) -> None:
         """Take the advice service's answer; None if there was none."""
         known = self._state.permissions.get((order.job, order.occurrence, order.step))
--- a/libs/planner/src/bilberryhitch_planner/reports.py
+++ b/libs/planner/src/bilberryhitch_planner/reports.py
@@ -140,7 +140,7 @@
     percent: int
 
 
-class AdviseOrder(NamedTuple):
+class AdviceRequest(NamedTuple):
     """A question to the advice service about one occurrence of a step."""
 
     job: str
--- a/libs/planner/src/bilberryhitch_planner/scheduling_round.py
+++ b/libs/planner/src/bilberryhitch_planner/scheduling_round.py
@@ -9,7 +9,7 @@
 from .guarantees import Guarantees
 from .placement import headroom, matches_labels, place_gang, place_task
 from .preemption import plan_preemption
-from .reports import AdviseOrder, StartOrder
+from .reports import AdviceRequest, StartOrder
 from .reservations import Reservations
 from .runs import Run
 from .units import StepOccurrence, Unit
@@ -47,7 +47,7 @@
         blocked: bool,
         now: float,
     ) -> None:
-        self.advice_requests: list[AdviseOrder] = []
+        self.advice_requests: list[AdviceRequest] = []
         self.reserved = Reservations(now, previous)
         self._state = state
         self._guarantees = guarantees
