--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -118,7 +118,7 @@
         return any(name not in self.rostered for name in self.workers)
 
     @property
-    def inheritance_open(self) -> bool:
+    def has_unsynced_workers(self) -> bool:
         """Whether a worker may run something that this planner has not seen."""
         return any(not worker.synced for worker in self.workers.values())
 
@@ -382,7 +382,7 @@
             self._guarantees,
             usable,
             previous=self._reservations,
-            blocked=self.inheritance_open and now < self._inherited_until,
+            blocked=self.has_unsynced_workers and now < self._inherited_until,
             now=now,
         )
         for step in self._steps_in_order(now) if may_start else ():
