--- a/libs/planner/src/bilberryhitch_planner/leading_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/leading_planner.py
@@ -138,7 +138,7 @@
         while True:
             try:
                 for name in await read_roster(self._store):
-                    self.planner.add_doubtful(name, now=time.monotonic())
+                    self.planner.add_unregistered_worker(name, now=time.monotonic())
                 # Nobody else writes progress any more: the lease is held.
                 self._inherited = await read_progress(self._store)
                 await self._jobs.poll()
--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -355,7 +355,7 @@
             for run in list(worker.runs.values()):
                 self._state.stop_if_stalled(worker, run)
 
-    def add_doubtful(self, name: str, *, now: float) -> None:
+    def add_unregistered_worker(self, name: str, *, now: float) -> None:
         """Note an unregistered worker on which something may still run."""
         if name not in self.workers:
             entry = WorkerEntry(name, "", "", "", Resources(), frozenset(), "")
--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -491,7 +491,7 @@
     lapsed behind a cut, and the earlier planner was cut off from the store.
     """
     world = World(entry("w1"), inherited=200, until=12.0)
-    world.planner.add_doubtful("w2", now=0.0)
+    world.planner.add_unregistered_worker("w2", now=0.0)
     world.report("w1")
     world.add(request("j", step()))
     assert world.starts() == []
--- a/tests/machines/world_point5_planner.py
+++ b/tests/machines/world_point5_planner.py
@@ -73,7 +73,7 @@
         planner.configure(configuration())
         self.leader = Holder(self.revision, planner, self.now)
         for name in self.roster:
-            planner.add_doubtful(name, now=self.now)
+            planner.add_unregistered_worker(name, now=self.now)
         for worker in self.fleet.workers.values():
             if worker.alive:
                 planner.add_worker(worker.entry, now=self.now)
