--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -67,7 +67,7 @@
         inherited_until: float,
     ) -> None:
         self._state = ClusterState()
-        self.rostered: frozenset[str] = frozenset()
+        self.stored_roster: frozenset[str] = frozenset()
         self.cordoned: frozenset[str] = frozenset()
         self._inherited_revision = inherited_revision
         self._inherited_until = inherited_until
@@ -115,7 +115,7 @@
     @property
     def roster_outdated(self) -> bool:
         """Whether a worker waits for being named to a later planner."""
-        return any(name not in self.rostered for name in self.workers)
+        return any(name not in self.stored_roster for name in self.workers)
 
     @property
     def has_unsynced_workers(self) -> bool:
@@ -374,7 +374,7 @@
         usable: dict[str, list[Worker]] = {}
         for worker in self.workers.values():
             name = worker.entry.worker
-            if name in self.rostered - self.cordoned and worker.usable(now):
+            if name in self.stored_roster - self.cordoned and worker.usable(now):
                 usable.setdefault(worker.entry.service, []).append(worker)
         self._guarantees.count(self.workers.values())
         round_ = SchedulingRound(
--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -387,7 +387,7 @@
     world = World(entry("w1"))
     world.report("w1")
     world.add(request("j", step()))
-    world.planner.rostered = frozenset({"w1"})
+    world.planner.stored_roster = frozenset({"w1"})
     assert world.planner.plan(now=0.0, unix_s=UNIX, may_start=False) == []
     assert len(world.starts()) == 1
 
--- a/libs/testing/src/bilberryhitch_testing/planner_world.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_world.py
@@ -137,7 +137,7 @@
 
     def plan(self) -> list[Order]:
         """Return the orders of one round."""
-        self.planner.rostered = frozenset(self.planner.workers)
+        self.planner.stored_roster = frozenset(self.planner.workers)
         self.planner.tick(now=self.now, unix_s=UNIX + self.now)
         return self.planner.plan(now=self.now, unix_s=UNIX + self.now)
 
--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -263,7 +263,7 @@
             )
             self.fleet.add_worker(entry, rng.choice((0.8, 1.0, 1.25)))
             self.planner.add_worker(entry, now=0.0)
-        self.planner.rostered = frozenset(self.planner.workers)
+        self.planner.stored_roster = frozenset(self.planner.workers)
 
     def play(self) -> Result:
         """Play to the end and return what was earned."""
