--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -261,7 +261,7 @@
                         worker, run, EndKind.LAPSED, "", now, unix_s
                     )
 
-    def start_answered(
+    def apply_start_outcome(
         self,
         order: StartOrder,
         outcome: StartOutcome,
--- a/libs/testing/src/bilberryhitch_testing/planner_world.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_world.py
@@ -159,7 +159,7 @@
         certain: bool = True,
     ) -> None:
         """Answer a start."""
-        self.planner.start_answered(
+        self.planner.apply_start_outcome(
             order, outcome, certain=certain, now=self.now, unix_s=UNIX + self.now
         )
 
--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -320,7 +320,7 @@
                     order.task, order.run, saved=order.saved, token=1,
                     lease_until_s=now + LEASE_S, now=now,
                 )  # fmt: skip
-                self.planner.start_answered(
+                self.planner.apply_start_outcome(
                     order, outcome, certain=True, now=now, unix_s=UNIX_S + now
                 )
             else:
