--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -312,7 +312,7 @@
             self._state.order_stop(run)
             self._state.stop_other_members(run)
 
-    def stop_answered(
+    def apply_stop_outcome(
         self, order: StopOrder, outcome: StopOutcome, *, now: float
     ) -> None:
         """Take the answer to a stop."""
--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -146,7 +146,7 @@
     world.answer(order, StartOutcome.UNKNOWN, certain=False)
     (stop,) = world.plan()
     world.now = 0.5
-    world.planner.stop_answered(stop, StopOutcome.STOPPED, now=0.5)
+    world.planner.apply_stop_outcome(stop, StopOutcome.STOPPED, now=0.5)
     world.now = 1.0
     world.report("w1")
     (again,) = world.starts()
--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -325,7 +325,7 @@
                 )
             else:
                 model.stop(order.task, order.run, token=1, now=now)
-                self.planner.stop_answered(order, StopOutcome.STOPPED, now=now)
+                self.planner.apply_stop_outcome(order, StopOutcome.STOPPED, now=now)
         for name in self.planner.dirty:
             job = self.planner.jobs[name]
             if job.finished and name not in self.ended:
