--- a/libs/planner/src/bilberryhitch_planner/__init__.py
+++ b/libs/planner/src/bilberryhitch_planner/__init__.py
@@ -16,12 +16,12 @@
     EndedTask,
     EndKind,
     HeartbeatReply,
-    ThrottleOrder,
     RunningTask,
     StartOrder,
     StartOutcome,
     StopOrder,
     StopOutcome,
+    ThrottleOrder,
     WorkerEntry,
 )
 from .upkeep import Machine, UpkeepCalls, UpkeepOutcome, Wave
--- a/libs/planner/src/bilberryhitch_planner/state_writer.py
+++ b/libs/planner/src/bilberryhitch_planner/state_writer.py
@@ -291,7 +291,7 @@
         finally:
             self._in_flight = False
         self._planner.confirm(revision)
-        self._planner.rostered = roster
+        self._planner.stored_roster = roster
         if renew:
             self._revision = revision
             self._renewed_at = self._confirmed_at = now
@@ -350,7 +350,7 @@
 
     def _roster_write(self, roster: frozenset[str]) -> list[RowWrite]:
         """Return the row that tells a successor which workers to ask."""
-        if roster == self._planner.rostered:
+        if roster == self._planner.stored_roster:
             return []
         return [RowWrite(ROSTER_TABLE, ROSTER_KEY, msgspec.json.encode(sorted(roster)))]
 
--- a/libs/planner/src/bilberryhitch_planner/worker_calls.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_calls.py
@@ -4,11 +4,11 @@
 
 from .reports import (
     HeartbeatReply,
-    ThrottleOrder,
     StartOrder,
     StartOutcome,
     StopOrder,
     StopOutcome,
+    ThrottleOrder,
     WorkerEntry,
 )
 
@@ -31,7 +31,7 @@
     ) -> StopOutcome:
         """Stop a run and bar its number."""
 
-    async def pace_run(
+    async def throttle_run(
         self, worker: WorkerEntry, order: ThrottleOrder, *, token: int
     ) -> bool:
         """Set a run's pace and return whether the worker took the order."""
--- a/libs/planner/src/bilberryhitch_planner/worker_session.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_session.py
@@ -13,11 +13,11 @@
 from .reports import (
     HeartbeatReply,
     Order,
-    ThrottleOrder,
     StartOrder,
     StartOutcome,
     StopOrder,
     StopOutcome,
+    ThrottleOrder,
 )
 from .runs import RunState
 from .state_writer import StateWriter
@@ -172,7 +172,7 @@
         if outcome is StartOutcome.GONE:
             self._planner.worker_gone(self._name, now=now, unix_s=time.time())
             return
-        self._planner.start_answered(
+        self._planner.apply_start_outcome(
             order, outcome, certain=certain, now=now, unix_s=time.time()
         )
 
@@ -189,7 +189,7 @@
                 self._planner.worker_gone(self._name, now=now, unix_s=time.time())
                 return
             if outcome is StopOutcome.STOPPED:
-                self._planner.stop_answered(order, outcome, now=now)
+                self._planner.apply_stop_outcome(order, outcome, now=now)
                 return
             await asyncio.sleep(RETRY_PAUSE_S)
 
@@ -198,7 +198,7 @@
         worker = self._planner.workers.get(self._name)
         if worker is None or (order.task, order.run) not in worker.runs:
             return
-        taken = await self._calls.pace_run(worker.entry, order, token=self._token)
+        taken = await self._calls.throttle_run(worker.entry, order, token=self._token)
         log(
             events.RUN_PACED,
             request_id=order.task.job,
--- a/libs/planner/tests/test_throttling.py
+++ b/libs/planner/tests/test_throttling.py
@@ -29,7 +29,9 @@
             RunningTask(self.filling.task, self.filling.run, "", self.now, 500.0),
         ]
         self.report("w1", lists[: 2 if filling else 1])
-        return [order.percent for order in self.plan() if isinstance(order, ThrottleOrder)]
+        return [
+            order.percent for order in self.plan() if isinstance(order, ThrottleOrder)
+        ]
 
 
 def test_filling_tasks_are_slowed_until_the_serving_task_is_below_its_bound():
--- a/tests/adapter/test_machines.py
+++ b/tests/adapter/test_machines.py
@@ -117,7 +117,7 @@
         )
         order = ThrottleOrder("i-1", TaskName("0" * 16, 0, 1, 2), 3, 40)
         try:
-            assert await client.pace_run(worker, order, token=7) is taken
+            assert await client.throttle_run(worker, order, token=7) is taken
         finally:
             await client.close()
             await listener.close()
--- a/tests/machines/test_point5_planner.py
+++ b/tests/machines/test_point5_planner.py
@@ -133,6 +133,6 @@
 
 
 def test_a_planner_that_does_not_wait_for_unseen_workers_is_noticed(monkeypatch):
-    monkeypatch.setattr(Planner, "inheritance_open", property(lambda _: False))
+    monkeypatch.setattr(Planner, "has_unsynced_workers", property(lambda _: False))
     with pytest.raises(AssertionError):
         run_point(POINT, seed_number=1, histories=60)
--- a/tests/machines/world_point5_planner.py
+++ b/tests/machines/world_point5_planner.py
@@ -177,7 +177,7 @@
         holder.planner.dirty = set()
         self.revision += 1
         holder.planner.confirm(self.revision)
-        self.roster = holder.planner.rostered = frozenset(holder.planner.workers)
+        self.roster = holder.planner.stored_roster = frozenset(holder.planner.workers)
         holder.confirmed_at = self.now
         return True
 
@@ -209,7 +209,7 @@
         if outcome is StartOutcome.FENCED:
             holder.fenced = True
             return
-        holder.planner.start_answered(
+        holder.planner.apply_start_outcome(
             order,
             outcome,
             certain=outcome is not StartOutcome.UNKNOWN,
@@ -222,7 +222,7 @@
         if order.worker in self.cut or not model.alive:
             return
         outcome = model.stop(order.task, order.run, token=holder.token, now=self.now)
-        holder.planner.stop_answered(order, outcome, now=self.now)
+        holder.planner.apply_stop_outcome(order, outcome, now=self.now)
 
 
 def truth(work_s, demand, *, gang_size=1, save_s=0.0):
