--- a/libs/jobs/src/bilberryhitch_jobs/acceptance.py
+++ b/libs/jobs/src/bilberryhitch_jobs/acceptance.py
@@ -151,7 +151,7 @@
     async def count_waiting(self, queue: str, deadline: float) -> int | None:
         """Return the number of jobs of a queue that have not started.
 
-        :returns: None if the store did not answer
+        :returns: None if the number could not be read from the store
         """
         counts: dict[str, int] = {}
 
@@ -236,7 +236,8 @@
 def _may_read(account: str, owner: str) -> bool:
     """Return whether an account may read a job of ``owner``.
 
-    Either account is empty if the queue is public; such callers may read any job.
+    An account is empty if the queue is public: such a caller may read any job, and
+    such a job may be read by any caller.
     """
     return not account or owner in ("", account)
 
--- a/libs/jobs/src/bilberryhitch_jobs/desk.py
+++ b/libs/jobs/src/bilberryhitch_jobs/desk.py
@@ -1,4 +1,4 @@
-"""Answers callers' calls: authenticates them, finds the queue, runs the operation."""
+"""Job API of an entry host: authenticates calls and runs operations on jobs."""
 
 import time
 from collections.abc import Callable
