--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -10,7 +10,6 @@
     Service,
 )
 from .desk import AdmittedCall, JobApi, JobReply, JobSubmission, ReplyKind
-from .follower import TableWatcher
 from .progress import (
     GANG_INDEX,
     JobProgress,
@@ -30,6 +29,7 @@
     TaskName,
 )
 from .rows import ExpectedRevision, RowRemoval, RowSnapshot, RowWrite, Store, StoreRow
+from .table_watcher import TableWatcher
 
 __all__ = [
     "FINISHED_STATES",
--- a/libs/planner/src/bilberryhitch_planner/leading_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/leading_planner.py
@@ -16,7 +16,7 @@
 )
 from bilberryhitch_jobs.acceptance import CANCEL_SUFFIX, JOB_PARTITIONS, JOBS_TABLE
 from bilberryhitch_jobs.errors import STORE_ERRORS, RowUnreadable
-from bilberryhitch_jobs.follower import TableWatcher
+from bilberryhitch_jobs.table_watcher import TableWatcher
 from bilberryhitch_telemetry import events, log
 
 from .errors import Deposed, Isolated, MachinesUnknown, WorkerFenced
