--- a/libs/jobs/src/bilberryhitch_jobs/desk.py
+++ b/libs/jobs/src/bilberryhitch_jobs/desk.py
@@ -16,16 +16,16 @@
 STORE_UNREACHABLE_AFTER_S = 2.0
 # Readiness ends earlier, as sending new callers to another host costs nothing.
 UNREADY_AFTER_S = 1.3
-# A short outage is over within a second, or another host answers the retry.
+# A short disturbance is over within a second, and another host may answer then.
 RETRY_AFTER_S = 1
-# An outage that has lasted this long goes on for seconds. A longer delay keeps callers
-# with few retries from using all of them up during it.
+# An outage that has lasted this long goes on for seconds: callers that give up after
+# a few attempts must not spend them all within it.
 LONG_OUTAGE_AFTER_S = 1.2
-LONG_OUTAGE_RETRY_AFTER_S = 2
+LONG_RETRY_AFTER_S = 2
 
 
 class ReplyKind(Enum):
-    """Kinds of replies to callers."""
+    """Kinds of answers to callers."""
 
     ACCEPTED = auto()
     STATE = auto()
@@ -55,7 +55,7 @@
 class AdmittedCall(NamedTuple):
     """An authenticated call to a queue.
 
-    :param account: account of the caller; empty for a public queue
+    :param account: empty for a public queue
     :param subpath: path after the queue's prefix: a job's identifier or empty
     """
 
@@ -95,16 +95,16 @@
     @property
     def store_reachable(self) -> bool:
         """Whether the store has responded recently."""
-        return self._store_silent_s < STORE_UNREACHABLE_AFTER_S
+        return self._store_silence_s < STORE_UNREACHABLE_AFTER_S
 
     @property
     def ready(self) -> bool:
         """Whether the load balancer should route callers to this host."""
         configured = self._configuration() is not None
-        return configured and self._store_silent_s < UNREADY_AFTER_S
+        return configured and self._store_silence_s < UNREADY_AFTER_S
 
     @property
-    def _store_silent_s(self) -> float:
+    def _store_silence_s(self) -> float:
         return time.monotonic() - self._store_last_response_at()
 
     def admit(self, host: str, path: str, key: str | None) -> AdmittedCall | JobReply:
@@ -135,7 +135,7 @@
         return AdmittedCall(queue, account, subpath)
 
     async def submit(
-        self, call: AdmittedCall, submission: JobSubmission, deadline: float
+        self, call: AdmittedCall, content: JobSubmission, deadline: float
     ) -> JobReply:
         """Accept a job."""
         if not self.store_reachable:
@@ -144,10 +144,10 @@
             call.subpath,
             call.queue,
             call.account,
-            submission.spec,
-            submission.steps,
+            content.spec,
+            content.steps,
             time.time(),
-            submission.schedule,
+            content.schedule,
         )
         result = await self._operations.accept(request, deadline)
         return self._to_reply(result, ReplyKind.ACCEPTED, call.subpath)
@@ -188,15 +188,15 @@
         return JobReply(kinds[result])
 
     def _not_run(self, reason: str, request_id: str) -> JobReply:
-        silent_s = self._store_silent_s
+        silence_s = self._store_silence_s
         retry_after_s = RETRY_AFTER_S
-        if silent_s > LONG_OUTAGE_AFTER_S:
-            retry_after_s = LONG_OUTAGE_RETRY_AFTER_S
+        if silence_s > LONG_OUTAGE_AFTER_S:
+            retry_after_s = LONG_RETRY_AFTER_S
         log(
             events.CALL_REFUSED,
             request_id=request_id,
             reason=reason,
-            store_silent_s=round(min(silent_s, 1e6), 3),
+            store_silent_s=round(min(silence_s, 1e6), 3),
             retry_after_s=retry_after_s,
         )
         return JobReply(ReplyKind.NOT_RUN, retry_after_s=retry_after_s)
--- a/libs/jobs/tests/test_desk.py
+++ b/libs/jobs/tests/test_desk.py
@@ -30,7 +30,7 @@
 from bilberryhitch_testing import run_virtual
 
 JOB = "0" * 16
-SUBMISSION = JobSubmission("spec", (Step(1, Resources(1), 1.0),), None)
+CONTENT = JobSubmission("spec", (Step(1, Resources(1), 1.0),), None)
 
 
 def queue(public=False):
@@ -56,21 +56,21 @@
         self.failures = list(failures)
         self.calls = 0
 
-    def _inject_failure(self, *, applied):
+    def _fail(self, *, done):
         self.calls += 1
         if not self.failures:
             return
         failure = self.failures.pop(0)
         if failure == "refused":
             raise StoreRefused("call", "503")
-        if failure == "lost" or not applied:
+        if failure == "lost" or not done:
             raise StoreUnknown("call", failure)
 
     def put(self, table, key, value, partition=""):
         self.rows[table, partition, key] = StoreRow(table, key, value, 1)
 
     async def read(self, table, first="", last="", *, partition="", timeout_s):
-        self._inject_failure(applied=False)
+        self._fail(done=False)
         rows = [
             row
             for (row_table, row_partition, key), row in sorted(self.rows.items())
@@ -85,14 +85,14 @@
                 (each.table, partition, each.key) in self.rows for each in expected
             ]
             if any(present):
-                self._inject_failure(applied=True)
+                self._fail(done=True)
                 raise CommitConflict(())
             for each in writes:
                 self.put(each.table, each.key, each.value, partition)
         if next_failure == ["lost_undone"]:
             self.failures.pop(0)
             raise StoreUnknown("call", "lost")
-        self._inject_failure(applied=True)
+        self._fail(done=True)
         return 1
 
 
@@ -110,7 +110,7 @@
         call = api.admit("h", "/q/" + JOB, "k")
         if isinstance(call, JobReply):
             return call
-        return await api.submit(call, SUBMISSION, time.monotonic() + 0.5)
+        return await api.submit(call, CONTENT, time.monotonic() + 0.5)
 
     return asyncio.run(run())
 
@@ -122,11 +122,11 @@
     assert (stored.account, stored.spec, stored.steps) == (
         "a",
         "spec",
-        SUBMISSION.steps,
+        CONTENT.steps,
     )
 
 
-def test_a_repeated_submit_does_not_change_the_stored_job():
+def test_the_same_identifier_is_one_job():
     store = Store()
     assert submit(store).kind is ReplyKind.ACCEPTED
     first = dict(store.rows)
@@ -169,7 +169,7 @@
         loop = asyncio.get_running_loop()
         operations = JobOperations(store, loop.time)
         requests = [
-            JobRequest(f"{number:016x}", queue(), "a", "s", SUBMISSION.steps, 0.0)
+            JobRequest(f"{number:016x}", queue(), "a", "s", CONTENT.steps, 0.0)
             for number in range(48)
         ]
         results = await asyncio.gather(
@@ -226,7 +226,7 @@
     assert job_api(Store(), public=True).admit("h", "/q/", None).account == ""
 
 
-def call_api(store, key, method="get_state"):
+def ask(store, key, method="get_state"):
     async def run():
         api = job_api(store)
         call = api.admit("h", "/q/" + JOB, key)
@@ -235,20 +235,20 @@
     return asyncio.run(run())
 
 
-def test_a_job_is_visible_to_its_own_account_only():
+def test_a_job_is_shown_to_its_own_account_only():
     """Guards against one client account reading or cancelling a job of another."""
     store = Store()
     submit(store)
-    assert call_api(store, "k").state is JobState.PENDING
-    assert call_api(store, "other").kind is ReplyKind.NO_JOB
-    assert call_api(store, "other", "cancel").kind is ReplyKind.NO_JOB
+    assert ask(store, "k").state is JobState.PENDING
+    assert ask(store, "other").kind is ReplyKind.NO_JOB
+    assert ask(store, "other", "cancel").kind is ReplyKind.NO_JOB
 
 
 def test_cancelling_changes_the_state_of_unfinished_jobs_only():
     store = Store()
     submit(store)
-    assert call_api(store, "k", "cancel").kind is ReplyKind.CANCELLED
-    assert call_api(store, "k").state is JobState.CANCELLED
+    assert ask(store, "k", "cancel").kind is ReplyKind.CANCELLED
+    assert ask(store, "k").state is JobState.CANCELLED
     done = encode_progress(JobProgress(JobState.COMPLETED, "a", {}, 5.0))
     store.put("progress", JOB, done)
-    assert call_api(store, "k").state is JobState.COMPLETED
+    assert ask(store, "k").state is JobState.COMPLETED
