--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -9,7 +9,7 @@
     Queue,
     Service,
 )
-from .desk import AdmittedCall, JobApi, JobReply, JobSubmission, ReplyKind
+from .job_api import AdmittedCall, JobApi, JobReply, JobSubmission, ReplyKind
 from .progress import (
     GANG_INDEX,
     JobProgress,
