--- a/libs/planner/src/bilberryhitch_planner/__init__.py
+++ b/libs/planner/src/bilberryhitch_planner/__init__.py
@@ -1,4 +1,4 @@
-"""The planner of jobs: placement, leases, reclaim, takeover and its journal."""
+"""Planner for jobs: placement, leases, preemption, failover and stored state."""
 
 from .errors import (
     Deposed,
--- a/libs/planner/src/bilberryhitch_planner/leader_election.py
+++ b/libs/planner/src/bilberryhitch_planner/leader_election.py
@@ -1,8 +1,9 @@
-"""The planner's lease: one row that its holder renews.
+"""Leader election of the planner with a lease: one row that its holder renews.
 
-The store's version at the acquisition is the fencing token: it rises with every
-transaction, so a later planner always has a higher one. Every transaction of the
-holder depends on the row's present revision, which shuts a former holder out.
+The store revision of the acquisition is the fencing token. It increases with every
+transaction, so a later planner always has a higher token. Every transaction of the
+holder is conditional on the revision of the lease row, so it fails once another
+host has acquired the lease.
 """
 
 import asyncio
@@ -21,23 +22,25 @@
 LEASE_TABLE = "planner"
 LEASE_KEY = "lease"
 RENEWAL_PERIOD_S = 0.4
-# Two renewals and one call that took all its time.
+# Covers two renewal periods and one store call that takes its whole timeout.
 LEASE_EXPIRY_S = 1.7
 CALL_TIMEOUT_S = 0.8
 RETRY_PAUSE_S = 0.2
-# Candidates that notice the holder's end at once spread their acquisitions over this.
+# Random delay that spreads the acquisitions of candidates that detect the end of the
+# holder's process at the same moment.
 ACQUISITION_JITTER_S = 0.15
-# Leases on workers end at most this long after the last renewal that the store
-# is known to have taken; a successor waits for them where it cannot ask.
+# Worker leases end at most this long after the last confirmed renewal of the leader
+# lease. A successor waits this long for workers that it cannot reach.
 WORKER_LEASE_HORIZON_S = 12.0
 
 
 class LeaseRow(msgspec.Struct, frozen=True):
-    """Value of the lease's row.
+    """Value of the lease row.
 
-    :ivar holder: entry host and life of its process; empty after a release
+    :ivar holder: ``host/process``: entry host and identifier of its process; empty
+        after a release
     :ivar token: fencing token; 0 until the first renewal
-    :ivar renewal: number of the renewal
+    :ivar renewal: sequence number of the renewal
     :ivar address: ``ip:port`` on which the holder's process listens
     """
 
@@ -48,11 +51,13 @@
 
 
 class LeaderLease(NamedTuple):
-    """A lease that has been acquired.
+    """A leader lease that has been acquired.
 
-    :param token: fencing token, also the store's version at the acquisition
-    :param acquired_at: steady time at which the acquisition was sent
-    :param renewed_at: steady time at which the former holder was last heard of
+    :param holder: ``host/process`` of the holder
+    :param token: fencing token: the store revision of the acquisition
+    :param acquired_at: monotonic time at which the acquisition was sent
+    :param renewed_at: monotonic time of the last observed change of the lease row
+        by the previous holder
     :param address: ``ip:port`` on which the holder's process listens
     """
 
@@ -64,11 +69,11 @@
 
 
 class LeaderElection:
-    """Waits for the lease to be free and acquires it.
+    """Waits until the leader lease is free and acquires it.
 
-    :param holder: unique name of this process's life: ``host/life``
+    :param holder: unique name of this process, ``host/process``
     :param address: ``ip:port`` on which this process listens
-    :param ended: returns when the process at an address has ended
+    :param wait_for_end: returns when the process at an address has ended
     """
 
     def __init__(
@@ -76,12 +81,12 @@
         store: Store,
         holder: str,
         address: str = "",
-        ended: Callable[[str], Coroutine[Any, Any, None]] = wait_for_process_end,
+        wait_for_end: Callable[[str], Coroutine[Any, Any, None]] = wait_for_process_end,
     ) -> None:
         self._store = store
         self._holder = holder
         self._address = address
-        self._ended = ended
+        self._wait_for_end = wait_for_end
         self._probe: asyncio.Task[None] | None = None
         self._probed = ""
         self._row: StoreRow | None = None
@@ -89,7 +94,7 @@
         self._changed_at = self._tried_at = time.monotonic()
 
     async def acquire(self) -> LeaderLease:
-        """Return when this process holds the lease."""
+        """Wait until this process holds the lease."""
         self._row, self._revision = None, 0
         try:
             return await self._run()
@@ -109,7 +114,7 @@
             except HistoryLost:
                 known = False
             except STORE_ERRORS:
-                # Silence counts only while the store answers.
+                # Without the store, a missing renewal says nothing about the holder.
                 known = False
                 await asyncio.sleep(RETRY_PAUSE_S)
 
@@ -121,7 +126,7 @@
     async def _try_once(self) -> LeaderLease | None:
         lease = decode_lease(self._row)
         if self._row is not None and lease.holder == self._holder:
-            # An acquisition whose answer was lost.
+            # An earlier acquisition succeeded, but its response was lost.
             return self._leader_lease(self._row.revision)
         held = bool(lease.holder) and _host(lease.holder) != _host(self._holder)
         if held and await self._wait_for_change(lease):
@@ -129,7 +134,10 @@
         return await self._commit_acquisition(lease)
 
     async def _wait_for_change(self, lease: LeaseRow) -> bool:
-        """Return whether the lease changed before its holder seemed to be gone."""
+        """Wait for a change of the lease row.
+
+        :returns: False if the lease expired or its holder's process ended first
+        """
         watch = asyncio.create_task(
             self._store.watch(LEASE_TABLE, self._revision, LEASE_EXPIRY_S)
         )
@@ -156,19 +164,20 @@
         if not watch.done():
             self._drop_probe()
             log(events.PLANNER_PROCESS_ENDED, holder=lease.holder)
-            # Other candidates notice in the same moment; one acquisition is enough.
+            # Other candidates detect the end at the same moment: wait for a random
+            # time and stop if one of them acquires the lease.
             await asyncio.wait(
                 (watch,), timeout=random.uniform(0.0, ACQUISITION_JITTER_S)
             )
 
     def _probe_for(self, address: str) -> asyncio.Task[None] | None:
-        """Return the task that ends with the process at an address."""
+        """Return the task that finishes when the process at an address has ended."""
         if address != self._probed:
             self._drop_probe()
         if not address:
             return None
         if self._probe is None:
-            self._probe = asyncio.create_task(self._ended(address))
+            self._probe = asyncio.create_task(self._wait_for_end(address))
             self._probed = address
         return self._probe
 
@@ -212,17 +221,20 @@
 
 
 def _host(holder: str) -> str:
-    """Return the entry host of a holder; an earlier life of a host is over."""
+    """Return the entry host of a holder.
+
+    A lease held by an earlier process of the same host can be taken over at once.
+    """
     return holder.partition("/")[0]
 
 
 def encode_lease(lease: LeaseRow) -> bytes:
-    """Return the row's value."""
+    """Encode the value of the lease row."""
     return msgspec.json.encode(lease)
 
 
 def decode_lease(row: StoreRow | None) -> LeaseRow:
-    """Read the row; an absent or unreadable one is held by nobody."""
+    """Decode the lease row; a missing or unreadable one counts as not held."""
     if row is None:
         return LeaseRow("", 0, 0)
     try:
--- a/libs/planner/src/bilberryhitch_planner/leading_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/leading_planner.py
@@ -1,4 +1,7 @@
-"""One tenure of the planner: follows jobs and workers, plans, sends orders."""
+"""Runs the planner while this host holds the leader lease.
+
+Watches the rows of jobs and workers, runs scheduling rounds and sends orders.
+"""
 
 import asyncio
 import time
@@ -30,34 +33,36 @@
 from .worker_session import WorkerSession
 from .workers import CLOCK_DRIFT, LEASE_SLACK_S
 
-# Orders that become due by time alone wait at most this long.
+# Longest time between two scheduling rounds; bounds the delay of time-driven orders.
 PLAN_PERIOD_S = 0.1
-# Changes within this time are planned together.
+# Changes that arrive within this time share one scheduling round.
 BATCH_DELAY_S = 0.004
-# A planner that loses most of its workers for this long steps down.
+# A planner that cannot reach most of its workers for this long gives up the lease.
 ISOLATION_TIMEOUT_S = 2.0
 ISOLATION_SHARE = 0.5
-# A worker that has not answered for this long is looked for in the list of
-# machines, this often; the list itself may be a second old.
+# A worker that has not answered for this long is looked up in the list of machines,
+# with this period. The list itself may be one second old.
 MACHINE_CHECK_SILENCE_S = 1.8
 MACHINE_CHECK_PERIOD_S = 0.5
-# A planned handover must leave most of the shutdown's time to open requests.
+# Releasing the lease must leave most of the shutdown time to open requests.
 RELEASE_TIMEOUT_S = 1.5
 CANCEL_PERIOD_S = 0.2
-# A run whose lease cannot outlast the next looks at its worker is not started.
+# No run is started with a shorter lease: it must cover the next heartbeats.
 MIN_LEASE_S = 1.5
-# The least time after a takeover before the workers' silence is judged.
+# After a takeover, unreachable workers are ignored for this long.
 ISOLATION_GRACE_S = 3.0
 
 
 class LeadingPlanner:
-    """Everything that lives as long as one leader_lease.
+    """The planner and its background tasks during one lease term.
 
     :param worker_table: table in which workers register themselves
-    :param advise: asks the advice service; None if there is no usable answer
-    :param waves: returns the upkeep that the operator asks for
-    :param encode_wave: returns the row that tells the operator of a wave's state
-    :param decode_worker: reads a registration; None for one that names no worker
+    :param decode_worker: decodes a registration; returns None if it is invalid
+    :param configuration: returns the current configuration, if there is one
+    :param advise: calls the advice service; returns None without a usable reply
+    :param waves: returns the maintenance waves that the operator has requested
+    :param encode_wave: returns the row that reports a wave's state to the operator
+    :param keep_s: retention period of finished jobs, in seconds
     """
 
     def __init__(
@@ -118,9 +123,9 @@
         self._connected_at = time.monotonic() + ISOLATION_GRACE_S
 
     async def run(self) -> None:
-        """Plan until another host has the lease or the workers are out of reach.
+        """Plan until another host holds the lease or most workers are unreachable.
 
-        :raises ExceptionGroup: with what ended the tenure
+        :raises ExceptionGroup: with the errors that ended the lease term
         """
         async with asyncio.TaskGroup() as group:
             self._group = group
@@ -134,12 +139,12 @@
             group.create_task(self._look_for_gone())
 
     async def _inherit(self) -> None:
-        """Read what the earlier planner left, as soon as the store answers."""
+        """Load the state stored by earlier planners; retry until the store answers."""
         while True:
             try:
                 for name in await read_roster(self._store):
                     self.planner.add_unregistered_worker(name, now=time.monotonic())
-                # Nobody else writes progress any more: the lease is held.
+                # No other host writes progress while this one holds the lease.
                 self._inherited = await read_progress(self._store)
                 await self._jobs.poll()
                 self.state_writer.adopt_orphans(self._inherited)
@@ -174,10 +179,10 @@
         self._changed()
 
     async def _look_for_gone(self) -> None:
-        """Ask the list of machines about workers that cannot be asked themselves.
+        """Look up unresponsive workers in the list of machines.
 
-        A worker whose machine is no longer up has ended, and its work can run
-        elsewhere long before its lease has lapsed.
+        A worker whose machine is no longer up has ended, so its tasks can be
+        restarted elsewhere long before its lease expires.
         """
         while True:
             await asyncio.sleep(MACHINE_CHECK_PERIOD_S)
@@ -197,7 +202,7 @@
                     self._changed()
 
     def _silent_workers(self, now: float) -> list[str]:
-        """Return workers that may run something and do not answer."""
+        """Return unresponsive workers that may have runs."""
         return [
             name
             for name, worker in self.planner.workers.items()
@@ -235,7 +240,7 @@
         self._wake.set()
         self.state_writer.notify()
 
-    # Rows of jobs.
+    # Job rows.
 
     def _load_jobs(self, rows: tuple[StoreRow, ...], revision: int) -> None:
         for row in rows:
@@ -266,7 +271,7 @@
             request, progress, row.revision, now=time.monotonic(), unix_s=time.time()
         )
 
-    # Rows of workers.
+    # Worker rows.
 
     def _load_workers(self, rows: tuple[StoreRow, ...], _revision: int) -> None:
         present = {row.key for row in rows}
@@ -285,7 +290,7 @@
             return
         entry = self._decode_worker(row)
         if entry is None:
-            log(events.ROW_UNREADABLE, key=row.key, error="not a worker's entry")
+            log(events.ROW_UNREADABLE, key=row.key, error="invalid worker registration")
             return
         known = self.planner.workers.get(entry.worker)
         if known is None or known.entry != entry:
@@ -317,7 +322,11 @@
 
 
 class Candidate:
-    """Runs for the planner's lease on this host, tenure after leader_lease."""
+    """Runs for the leader lease and plans while this host holds it.
+
+    :param acquire_lease: returns once this host holds the lease
+    :param create_planner: returns the planner for a lease term
+    """
 
     def __init__(
         self,
@@ -332,21 +341,22 @@
 
     @property
     def leading(self) -> bool:
-        """Whether this host plans."""
+        """Whether this host is planning."""
         return self._active is not None
 
     def start(self) -> None:
-        """Begin to run for the lease."""
+        """Start to run for the lease in the background."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop; a lease that is held is given up."""
+        """Stop, and release the lease if it is held."""
         if self._task is None:
             return
         self._closing = True
         planner = self._active
         while not self._task.done():
-            # A task group drops a cancellation that meets an error of a child.
+            # A task group drops a cancellation that coincides with an error of a
+            # child task, so the cancellation is repeated.
             self._task.cancel()
             await asyncio.wait((self._task,), timeout=CANCEL_PERIOD_S)
         if planner is not None:
--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -1,9 +1,10 @@
-"""Decides what runs where; free of I/O.
+"""Decides which tasks run on which workers. Performs no I/O.
 
-The planner is told what has happened (jobs, cancellations, workers' reports,
-answers to orders, the time) and emits orders to workers and the names of jobs
-whose progress must be stored. A run that may exist holds its room on its worker
-and its unit: neither is given to another run before the first is certainly gone.
+The caller passes in events (jobs, cancellations, heartbeat replies, results of
+orders) and the current time. The planner returns orders for workers and names the
+jobs whose progress must be stored. A run that may exist keeps its resources and its
+unit allocated: neither is assigned to another run before the first one has certainly
+ended.
 """
 
 from bilberryhitch_jobs import (
@@ -39,25 +40,27 @@
 from .units import StepOccurrence, TrackedJob
 from .workers import Worker
 
-# After an order that did not lead to a run.
+# Delay before a unit is retried after a failed start.
 START_RETRY_DELAY_S = 0.15
-# A worker that starts again at an address this soon after another ended there may
-# be going down and up by turns.
+# A worker that starts at an address this soon after another one ended there may be
+# in a crash loop; it takes over the failure count.
 RESTART_MEMORY_S = 8.0
-# Workers list at most this many ends in an answer.
+# A worker lists at most this many ended runs in one reply.
 MAX_ENDS_PER_REPLY = 500
 
 
 class Planner:
-    """The state of one planner's tenure.
+    """Scheduling state of one planner during one lease term.
 
-    :param inherited_revision: jobs stored up to this revision may have been
+    :param inherited_revision: store revision; jobs accepted up to it may have been
         started by an earlier planner
-    :ivar rostered: workers that a later planner will ask before it starts anew
-        what this one may have started
-    :ivar withheld: workers that get nothing new because they are about to go
-    :param inherited_until: steady time at which all leases that an earlier
-        planner granted have lapsed
+    :param inherited_until: monotonic time in seconds at which every worker lease
+        granted by an earlier planner has expired
+    :ivar stored_roster: workers in the stored roster. A later planner queries them
+        before it restarts what this planner may have started.
+    :ivar cordoned: workers that get no new runs because they are about to be taken
+        down
+    :ivar advice_requests: requests to be sent to the advice service
     """
 
     def __init__(
@@ -75,19 +78,19 @@
         self._newest_revision = 0
         self._queues: dict[str, Queue] = {}
         self._guarantees = Guarantees()
-        # When a worker ended at an address, and its failures until then.
+        # By address: time at which the last worker ended there, and its failures.
         self._recent_ends: dict[str, tuple[float, int]] = {}
         self._reservations: Reservations | None = None
         self.advice_requests: list[AdviceRequest] = []
 
     @property
     def jobs(self) -> dict[str, TrackedJob]:
-        """Accepted jobs by name."""
+        """Accepted jobs, by name."""
         return self._state.jobs
 
     @property
     def workers(self) -> dict[str, Worker]:
-        """Workers by the name of their incarnation."""
+        """Workers, by identifier of their incarnation."""
         return self._state.workers
 
     @property
@@ -101,28 +104,28 @@
 
     @property
     def has_unconfirmed_jobs(self) -> bool:
-        """Whether a job waits for proof that the lease outlasted its acceptance."""
+        """Whether a job was accepted after the lease was last confirmed."""
         return self._newest_revision > self._confirmed_revision
 
     def confirm(self, revision: int) -> None:
-        """Note that the lease was held at a version of the store.
+        """Record that the leader lease was held at a store revision.
 
-        A later planner's lease is newer than that version, so it knows that jobs
-        up to it may have been started.
+        A later planner's lease has a higher revision, so that planner treats jobs
+        accepted up to this revision as possibly started.
         """
         self._confirmed_revision = max(self._confirmed_revision, revision)
 
     @property
     def roster_outdated(self) -> bool:
-        """Whether a worker waits for being named to a later planner."""
+        """Whether a worker is missing from the stored roster."""
         return any(name not in self.stored_roster for name in self.workers)
 
     @property
     def has_unsynced_workers(self) -> bool:
-        """Whether a worker may run something that this planner has not seen."""
+        """Whether a worker may have runs that this planner does not know of yet."""
         return any(not worker.synced for worker in self.workers.values())
 
-    # What happens to jobs.
+    # Job events.
 
     def add_job(
         self,
@@ -133,7 +136,10 @@
         now: float,
         unix_s: float,
     ) -> None:
-        """Take over an accepted job; a known one is left as it is."""
+        """Add an accepted job; a known one is left unchanged.
+
+        :param revision: store revision of its acceptance
+        """
         if request.job in self.jobs:
             return
         age = max(0.0, unix_s - request.accepted_s)
@@ -159,27 +165,30 @@
         self._state.queue_ready_steps(job, now)
 
     def cancel_job(self, name: str, *, unix_s: float) -> None:
-        """Stop a job; one that has ended stays as it is."""
+        """Cancel a job; a finished one is left unchanged."""
         job = self.jobs.get(name)
         if job is not None and not job.finished:
             self._state.finish_job(job, JobState.CANCELLED, unix_s)
 
     def forget_job(self, name: str) -> None:
-        """Drop a finished job whose rows are removed."""
+        """Remove a finished job whose rows have been deleted."""
         self.jobs.pop(name, None)
 
     def configure(self, configuration: Configuration) -> None:
-        """Apply the terms of the queues; a removed queue keeps its last ones."""
+        """Apply a configuration.
+
+        Jobs of a queue that was removed keep its last settings.
+        """
         queues = {queue.name: queue for queue in configuration.queues}
         for job in self.jobs.values():
             job.queue = queues.get(job.request.queue.name, job.queue)
         self._queues = queues
         self._guarantees.configure(configuration.accounts.values())
 
-    # What happens to workers.
+    # Worker events.
 
     def add_worker(self, entry: WorkerEntry, *, now: float) -> Worker:
-        """Take a worker's registration."""
+        """Add a registered worker or update its registration."""
         worker = self.workers.get(entry.worker)
         if worker is None:
             worker = Worker(entry, now)
@@ -196,7 +205,7 @@
         return worker
 
     def unlist_worker(self, name: str, *, now: float) -> None:
-        """Note that a worker's registration is gone; its runs may go on."""
+        """Record that a worker is no longer registered; its runs may continue."""
         worker = self.workers.get(name)
         if worker is None:
             return
@@ -205,7 +214,7 @@
             del self.workers[name]
 
     def worker_gone(self, name: str, *, now: float, unix_s: float) -> None:
-        """Release all runs of an incarnation that is certain to have ended."""
+        """Release all runs of an incarnation that has certainly ended."""
         worker = self.workers.pop(name, None)
         if worker is None:
             return
@@ -228,15 +237,15 @@
         now: float,
         unix_s: float,
     ) -> None:
-        """Take a worker's list of runs and ends.
+        """Apply a worker's list of active and ended runs.
 
-        :param sent_at: steady time at which the worker was asked
+        :param sent_at: monotonic time at which the request was sent
         """
         worker = self.workers.get(name)
         if worker is None:
             return
         if worker.born_ms not in (0, report.born_ms):
-            # Another life under the same identifier: nothing of before is left.
+            # The worker restarted under the same identifier: its runs are gone.
             for run in list(worker.runs.values()):
                 self._state.release_run(worker, run, EndKind.LAPSED, "", now, unix_s)
             worker.last_end_sequence = 0
@@ -270,9 +279,9 @@
         now: float,
         unix_s: float,
     ) -> None:
-        """Take the answer to a start.
+        """Apply the result of a start order.
 
-        :param certain: no earlier copy of the order went unanswered
+        :param certain: whether every earlier attempt of the order got an answer
         """
         worker = self.workers.get(order.worker)
         run = worker.runs.get((order.task, order.run)) if worker else None
@@ -301,7 +310,8 @@
             if outcome is StartOutcome.NO_TICKET and permissions is not None:
                 permissions.discard_ticket(order.worker)
         if outcome is StartOutcome.OLD:
-            # It has ended there, or can never begin; the next list tells.
+            # The run has ended on the worker or can never start. The next heartbeat
+            # reply shows which.
             run.state = RunState.STOPPING
             run.settled_at = now
             self._state.stop_other_members(run)
@@ -315,7 +325,7 @@
     def apply_stop_outcome(
         self, order: StopOrder, outcome: StopOutcome, *, now: float
     ) -> None:
-        """Take the answer to a stop."""
+        """Apply the result of a stop order."""
         worker = self.workers.get(order.worker)
         run = worker.runs.get((order.task, order.run)) if worker else None
         if run is not None and outcome is StopOutcome.STOPPED:
@@ -324,7 +334,7 @@
     def apply_advice(
         self, order: AdviceRequest, advice: Advice | None, *, now: float
     ) -> None:
-        """Take the advice service's answer; None if there was none."""
+        """Apply a reply of the advice service; None if there was no usable reply."""
         known = self._state.permissions.get((order.job, order.occurrence, order.step))
         if known is not None and advice is not None:
             known.apply_reply(order.workers, advice.granted, now + advice.valid_s)
@@ -338,7 +348,7 @@
             )
 
     def tick(self, *, now: float, unix_s: float) -> None:
-        """Release what has lapsed and stop what stands still."""
+        """Release runs whose lease has expired and stop stalled runs."""
         for name, worker in list(self.workers.items()):
             recover_speed(worker)
             if now > worker.lease_until:
@@ -356,7 +366,7 @@
                 self._state.stop_if_stalled(worker, run)
 
     def add_unregistered_worker(self, name: str, *, now: float) -> None:
-        """Note an unregistered worker on which something may still run."""
+        """Add an unregistered worker that may still have runs."""
         if name not in self.workers:
             entry = WorkerEntry(name, "", "", "", Resources(), frozenset(), "")
             worker = Worker(entry, now)
@@ -364,12 +374,12 @@
             worker.registered = False
             self.workers[name] = worker
 
-    # Decisions.
+    # Scheduling.
 
     def plan(self, *, now: float, unix_s: float, may_start: bool = True) -> list[Order]:
-        """Place what can be placed and return the orders to send.
+        """Run one scheduling round and return the orders to send.
 
-        :param may_start: whether a run that is started now would have a lease
+        :param may_start: whether a run that is started now could get a lease
         """
         usable: dict[str, list[Worker]] = {}
         for worker in self.workers.values():
@@ -395,7 +405,7 @@
         return orders
 
     def waiting_counts(self) -> dict[str, int]:
-        """Return the number of jobs that have not begun, by queue."""
+        """Return the number of jobs that have not started, by queue name."""
         counts: dict[str, int] = {}
         for job in self.jobs.values():
             if not job.finished and not job.begun:
--- a/libs/planner/src/bilberryhitch_planner/state_writer.py
+++ b/libs/planner/src/bilberryhitch_planner/state_writer.py
@@ -1,7 +1,7 @@
-"""Stores what must outlive the planner and renews its lease, in one stream.
+"""Stores the planner's state and renews its lease, one transaction at a time.
 
-One transaction is in flight at a time. After one whose fate is unknown the next
-changes the lease's row, which bars the earlier copy from taking effect later.
+If the outcome of a transaction is unknown, the next one changes the lease row. The
+earlier transaction is conditional on that row, so it can no longer take effect.
 """
 
 import asyncio
@@ -52,15 +52,15 @@
 )
 from .planner import Planner
 
-# Entries of one transaction, below the platform's limit of 100.
+# Progress rows of one transaction, below the platform's limit of 100 rows.
 MAX_ROWS_PER_COMMIT = 80
 RETRY_PAUSE_S = 0.1
-# Shorter waits are not worth a turn of the event loop.
+# Shorter waits are not worth an iteration of the event loop.
 MIN_WAIT_S = 0.001
 SUMMARY_PERIOD_S = 0.5
-# A takeover reads the progress of all jobs at once.
+# A takeover reads the progress of all jobs in one call.
 READ_TIMEOUT_S = 1.5
-# Old jobs are removed a few at a time, beside what is urgent.
+# Expired jobs are removed in small batches to leave room for urgent writes.
 REMOVAL_PERIOD_S = 1.0
 MAX_REMOVED_PER_COMMIT = 20
 ROSTER_TABLE = "roster"
@@ -68,7 +68,7 @@
 
 
 async def read_roster(store: Store) -> tuple[str, ...]:
-    """Return the workers that an earlier planner may have given runs."""
+    """Return the workers on which an earlier planner may have started runs."""
     snapshot = await store.read(ROSTER_TABLE, timeout_s=CALL_TIMEOUT_S)
     if not snapshot.rows:
         return ()
@@ -81,7 +81,7 @@
 
 
 async def read_progress(store: Store) -> dict[str, JobProgress]:
-    """Return the progress of all jobs that an earlier planner has begun or ended."""
+    """Return the stored progress by job name; unreadable rows are skipped."""
     snapshot = await store.read(PROGRESS_TABLE, timeout_s=READ_TIMEOUT_S)
     found = {}
     for row in snapshot.rows:
@@ -93,10 +93,11 @@
 
 
 class StateWriter:
-    """The writing half of a planner's leader_lease.
+    """Writes the planner's state during one lease term.
 
-    :param keep_s: how long finished jobs can be asked for
-    :param on_stored: called after each transaction
+    :param keep_s: retention period of finished jobs, in seconds
+    :param on_stored: called after each successful transaction
+    :param unix: returns the Unix time in seconds
     """
 
     def __init__(
@@ -128,19 +129,19 @@
         self._summary_at = float("-inf")
         self._counts_enabled = False
         self._pending_rows: dict[tuple[str, str], RowWrite] = {}
-        # Jobs whose requests are removed and whose progress is to follow.
+        # Jobs whose request rows are removed and whose progress rows remain.
         self._orphans: set[str] = set()
         self._changed = asyncio.Event()
         self._advanced = asyncio.Condition()
 
     @property
     def worker_lease_limit(self) -> float:
-        """Steady time beyond which no lease on a worker may be extended."""
+        """Monotonic time beyond which no worker lease may be extended."""
         return self._confirmed_at + WORKER_LEASE_HORIZON_S
 
     @property
     def lease_is_fresh(self) -> bool:
-        """Whether no other host can have acquired the lease yet."""
+        """Whether the lease was confirmed too recently for another host to hold it."""
         return time.monotonic() - self._confirmed_at < LEASE_EXPIRY_S / 2
 
     @property
@@ -154,23 +155,26 @@
         )
 
     def notify(self) -> None:
-        """Store changes of the planner soon."""
+        """Wake the writer if there are changes to store."""
         if self._pending:
             self._changed.set()
 
     def enable_waiting_counts(self) -> None:
-        """Tell callers from now on how many jobs wait: all of them are known."""
+        """Start to store the counts of waiting jobs.
+
+        To be called once all jobs have been loaded; earlier counts would be too low.
+        """
         self._counts_enabled = True
 
     def put(self, write: RowWrite) -> None:
-        """Store a row of the planner's own soon; a later one of its key replaces it."""
+        """Queue a row to be written; a later row with the same key replaces it."""
         self._pending_rows[write.table, write.key] = write
         self._changed.set()
 
     async def run(self) -> None:
-        """Write until deposed.
+        """Write changes and renew the lease until another host holds it.
 
-        :raises Deposed: if another host has the lease
+        :raises Deposed: if another host holds the lease
         """
         while True:
             now = time.monotonic()
@@ -183,7 +187,7 @@
     async def flush(self, timeout_s: float) -> bool:
         """Wait until all changes made so far are stored.
 
-        :returns: whether they are
+        :returns: False if that takes longer than ``timeout_s`` seconds
         """
         unsent = bool(self._planner.dirty or self._pending_rows)
         if not unsent and not self._in_flight:
@@ -198,10 +202,10 @@
         return True
 
     async def remove_expired(self) -> None:
-        """Remove finished jobs once their time is over, until cancelled.
+        """Remove finished jobs after their retention period, until cancelled.
 
-        The request goes first: a job with a request and without progress would be
-        taken for a new one.
+        The request row is removed before the progress row: a job with a request and
+        without progress would be taken for a new one.
         """
         while True:
             await asyncio.sleep(REMOVAL_PERIOD_S)
@@ -224,9 +228,9 @@
                 self._orphans.add(name)
 
     def adopt_orphans(self, progress: Mapping[str, JobProgress]) -> None:
-        """Take over removals that an earlier planner began.
+        """Take over the removals that an earlier planner did not complete.
 
-        :param progress: of jobs without a request
+        :param progress: progress of jobs without a request row, by job name
         """
         ended = {
             name for name, each in progress.items() if each.state in FINISHED_STATES
@@ -246,17 +250,22 @@
         return expired[:MAX_REMOVED_PER_COMMIT]
 
     async def release(self) -> None:
-        """Store what is left and give the lease up."""
+        """Store the remaining changes and release the lease.
+
+        :raises Deposed: if another host holds the lease
+        """
         await self.write(holder="")
 
     async def write(self, holder: str | None = None) -> None:
         """Write one transaction.
 
-        :raises Deposed: if another host has the lease
+        :param holder: holder to be stored in the lease row; empty releases the
+            lease, None keeps it
+        :raises Deposed: if another host holds the lease
         """
         now = time.monotonic()
         names = self._pop_dirty()
-        # Changes that did not fit are stored by a later transaction.
+        # Changes beyond the row limit are left to a later transaction.
         whole = not self._planner.dirty
         notes, self._pending_rows = self._pending_rows, {}
         writes = self._progress_writes(names) + list(notes.values())
@@ -349,13 +358,13 @@
         return [RowWrite(SUMMARY_TABLE, WAITING_KEY, value)]
 
     def _roster_write(self, roster: frozenset[str]) -> list[RowWrite]:
-        """Return the row that tells a successor which workers to ask."""
+        """Return the row that lists the workers which a successor must query."""
         if roster == self._planner.stored_roster:
             return []
         return [RowWrite(ROSTER_TABLE, ROSTER_KEY, msgspec.json.encode(sorted(roster)))]
 
     def _removals(self) -> list[RowRemoval]:
-        """Return the progress of jobs that nobody can ask for any more."""
+        """Return removals of the progress of jobs whose requests are removed."""
         return [
             RowRemoval(PROGRESS_TABLE, name)
             for name in sorted(self._orphans)[:MAX_REMOVED_PER_COMMIT]
@@ -367,7 +376,7 @@
         own = lease.holder == self._leader_lease.holder
         if row is None or not own or lease.token not in (0, self._leader_lease.token):
             raise Deposed(lease.holder)
-        # A renewal of our own whose answer was lost.
+        # An earlier renewal of this holder succeeded, but its response was lost.
         self._revision = row.revision
         self._outcome_unknown = True
 
--- a/libs/planner/src/bilberryhitch_planner/worker_session.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_session.py
@@ -1,4 +1,4 @@
-"""The planner's conversation with one worker."""
+"""The planner's session with one worker: heartbeats and orders."""
 
 import asyncio
 import time
@@ -24,25 +24,31 @@
 from .throttling import shares_processor
 from .worker_calls import WorkerCalls
 
-# The lease of what runs on a worker: the longest that the platform grants, so
-# that work outlives cuts of several seconds.
+# Lease of the runs on a worker. It is the longest that the platform grants, so that
+# runs survive network partitions of several seconds.
 LEASE_S = 10.0
-# How long a listing waits for an end; also how often the lease is extended,
-# checkpoints are read and progress is seen. A run that stands still is noticed after
-# three of them, and an urgent one has little more than a second of slack.
+# How long the worker holds a heartbeat open while no run ends. This is also the
+# period of lease renewals and progress updates. A stalled run is detected after
+# three heartbeats, and an urgent run has little more than one second of slack.
 HEARTBEAT_WAIT_S = 0.6
-# Tasks that serve must not be over their bound for seconds because of others.
+# Shorter period while idle-CPU tasks share a worker with serving tasks, whose latency
+# must not exceed its target for seconds because of them.
 SHARED_HEARTBEAT_WAIT_S = 0.4
 RETRY_PAUSE_S = 0.2
-# Ends that are not stored yet are not acknowledged; the listing goes on.
+# Ended runs are acknowledged only once they are stored; heartbeats go on meanwhile.
 FLUSH_TIMEOUT_S = 0.4
-# Copies of a start without an answer; the last failure is followed by a stop.
+# Attempts of a start order without a response; after the last one the run is stopped.
 MAX_START_ATTEMPTS = 3
 
 
 class WorkerSession:
-    """Lists, extends and acknowledges what runs on a worker; sends its orders.
+    """Sends heartbeats and orders to a worker.
 
+    A heartbeat renews the lease of the worker's runs, acknowledges ended runs and
+    returns the worker's active and ended runs.
+
+    :param name: identifier of the worker's incarnation
+    :param leader_lease: lease whose fencing token the calls carry
     :param on_change: called after the planner's state has changed
     """
 
@@ -67,11 +73,11 @@
 
     @property
     def unreachable(self) -> bool:
-        """Whether the last look at the worker failed."""
+        """Whether the last heartbeat failed."""
         return self._unreachable
 
     async def run(self) -> None:
-        """Look at the worker until its incarnation is gone.
+        """Send heartbeats until the worker's incarnation has ended.
 
         :raises WorkerFenced: if a later planner has called the worker
         """
@@ -88,7 +94,7 @@
                 return
             except WorkerUnreachable as error:
                 self._note_unreachable(error)
-                # A worker that has started again counts its ends anew.
+                # A restarted worker numbers its ended runs from 1 again.
                 self._acknowledged = 0
                 wait_s = 0.0
                 await asyncio.sleep(RETRY_PAUSE_S)
@@ -110,7 +116,7 @@
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     async def send(self, order: Order) -> None:
-        """Send an order until it is answered or no longer wanted.
+        """Send an order; retry until it is answered or no longer needed.
 
         :raises WorkerFenced: if a later planner has called the worker
         """
@@ -126,8 +132,8 @@
         worker = self._planner.workers[self._name]
         limit = min(sent_at + LEASE_S, self._state_writer.worker_lease_limit)
         lease = None
-        # An unanswered extension may still count: a worker that stays silent
-        # gets no further one, so that its lease can be known to have lapsed.
+        # A renewal without a response may still have taken effect. An unreachable
+        # worker gets no further renewal, so that its lease certainly expires.
         if self._synced and not self._unreachable and limit > sent_at:
             lease = worker.lease_deadline(limit, sent_at)
         report = await self._calls.hold(
@@ -141,7 +147,10 @@
         return report
 
     async def _acknowledge(self, report: HeartbeatReply) -> bool:
-        """Return whether the ends may be acknowledged by the next look."""
+        """Store the ended runs of a reply.
+
+        :returns: whether the next heartbeat may acknowledge them
+        """
         if not await self._state_writer.flush(FLUSH_TIMEOUT_S):
             return False
         self._acknowledged = max(ended.sequence for ended in report.ended)
@@ -194,7 +203,7 @@
             await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _send_throttle(self, order: ThrottleOrder) -> None:
-        """Send once; the pace is ordered again while it matters."""
+        """Send a throttle order once; the planner repeats it while it is needed."""
         worker = self._planner.workers.get(self._name)
         if worker is None or (order.task, order.run) not in worker.runs:
             return
