--- a/libs/scheduling/src/bilberryhitch_scheduling/fair_groups.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/fair_groups.py
@@ -7,7 +7,7 @@
 T = TypeVar("T")
 
 IDLE_CLEANUP_CHILDREN = 4096  # children of a group above which idle ones are removed
-_EXTRA_HEAP_ROWS = 64  # beyond two rows per child, the heap is rebuilt without stale
+_EXTRA_HEAP_ROWS = 64  # beyond two per child, above which stale rows are removed
 
 
 class QueueEntry(Generic[T]):
