--- a/libs/config/src/bilberryhitch_config/adoption.py
+++ b/libs/config/src/bilberryhitch_config/adoption.py
@@ -41,7 +41,7 @@
     return _named("pools", change.put_pools, change.delete_pools, tables.pools)
 
 
-def with_change(tables: Tables, change: TableChange, revision: int) -> Tables:
+def apply_change(tables: Tables, change: TableChange, revision: int) -> Tables:
     """Return new tables with a change applied; ``tables`` stays as it is."""
     return Tables(
         revision,
@@ -57,7 +57,7 @@
     """
     for change in sorted(changes, key=lambda item: item.revision):
         if change.revision == tables.revision + 1:
-            tables = with_change(tables, change.change, change.revision)
+            tables = apply_change(tables, change.change, change.revision)
     return tables
 
 
--- a/libs/config/src/bilberryhitch_config/commits.py
+++ b/libs/config/src/bilberryhitch_config/commits.py
@@ -20,7 +20,7 @@
 from bilberryhitch_platform import Expect, TableService, abandon, commit
 from expression import Error, Ok, Result
 
-from .adoption import check_change, with_change
+from .adoption import check_change, apply_change
 from .rows import (
     HEAD,
     HeadRow,
@@ -47,7 +47,7 @@
     named = check_change(tables, change)
     if named.is_error():
         return Error(named.error)
-    changed = with_change(tables, change, tables.revision + 1)
+    changed = apply_change(tables, change, tables.revision + 1)
     resized = {pool.name for pool in change.put_pools}
     valid = validate_tables(changed, hosts, check_capacity_of=resized)
     return Error(valid.error) if valid.is_error() else Ok(changed)
--- a/tests/machines/test_point8_config.py
+++ b/tests/machines/test_point8_config.py
@@ -2,7 +2,7 @@
 
 import pytest
 from bilberryhitch_config import ConfigService, commits, rows, service
-from bilberryhitch_config.adoption import with_change
+from bilberryhitch_config.adoption import apply_change
 from bilberryhitch_model.errors import StoreAnswerLost, StoreUnavailable
 from bilberryhitch_platform import commit
 from hypothesis import strategies as st
@@ -191,7 +191,7 @@
     def follow(tables, changes):
         for change in changes:
             if change.revision > tables.revision:
-                tables = with_change(tables, change.change, change.revision)
+                tables = apply_change(tables, change.change, change.revision)
         return tables
 
     monkeypatch.setattr(service, "follow", follow)
