--- a/libs/config/src/bilberryhitch_config/adoption.py
+++ b/libs/config/src/bilberryhitch_config/adoption.py
@@ -50,7 +50,7 @@
     )
 
 
-def follow(tables: Tables, changes: Iterable[ConfigChange]) -> Tables:
+def apply_changes(tables: Tables, changes: Iterable[ConfigChange]) -> Tables:
     """Apply the changes that directly follow ``tables``.
 
     Changes already contained are skipped; the first gap ends the run.
--- a/libs/config/src/bilberryhitch_config/service.py
+++ b/libs/config/src/bilberryhitch_config/service.py
@@ -16,7 +16,7 @@
 from expression import Error, Ok, Result
 
 from . import commits
-from .adoption import NOTHING, RecentChanges, decode_offer, follow, frozen
+from .adoption import NOTHING, RecentChanges, decode_offer, apply_changes, frozen
 from .commits import ConfigError
 from .in_force import HostRevision, InForce
 from .rows import HeadRow, read_changes, read_head, read_history, read_snapshot
@@ -154,7 +154,7 @@
             return
         if offered.snapshot is not None:
             self._adopt(offered.snapshot, ())
-        self._adopt(follow(self._view, offered.changes), offered.changes)
+        self._adopt(apply_changes(self._view, offered.changes), offered.changes)
         if self._view.revision < offer.revision:
             self._ask("")
         if pass_on and self._view.revision > before and self._broadcast_local:
@@ -245,7 +245,7 @@
         if self._view.revision and missing <= MAX_CHANGES:
             since = self._view.revision
             changes = await read_changes(self._tables, since, MAX_CHANGES)
-            self._adopt(follow(self._view, changes), changes)
+            self._adopt(apply_changes(self._view, changes), changes)
         if self._view.revision < head.revision:
             self._adopt(await read_snapshot(self._tables), ())
 
@@ -265,7 +265,7 @@
 
     def _accepted(self, change: ConfigChange) -> Commit:
         log(events.CONFIG_COMMITTED, revision=change.revision, operator=change.operator)
-        self._adopt(follow(self._view, [change]), [change])
+        self._adopt(apply_changes(self._view, [change]), [change])
         if self._view.revision >= change.revision:
             self._broadcast(self._offer(change.revision - 1))
         return Commit(change.revision, change.operator, change.at)
--- a/tests/machines/test_point8_config.py
+++ b/tests/machines/test_point8_config.py
@@ -188,13 +188,13 @@
 
 
 def gaps_skipped(monkeypatch):
-    def follow(tables, changes):
+    def apply_changes(tables, changes):
         for change in changes:
             if change.revision > tables.revision:
                 tables = apply_change(tables, change.change, change.revision)
         return tables
 
-    monkeypatch.setattr(service, "follow", follow)
+    monkeypatch.setattr(service, "apply_changes", apply_changes)
 
 
 def race_and_wait(machine):
