--- a/libs/config/src/bilberryhitch_config/adoption.py
+++ b/libs/config/src/bilberryhitch_config/adoption.py
@@ -61,7 +61,7 @@
     return tables
 
 
-def frozen(tables: Tables) -> Tables:
+def make_read_only(tables: Tables) -> Tables:
     """Return tables whose rows cannot be replaced by a holder of the view."""
     return Tables(
         tables.revision,
--- a/libs/config/src/bilberryhitch_config/service.py
+++ b/libs/config/src/bilberryhitch_config/service.py
@@ -16,7 +16,7 @@
 from expression import Error, Ok, Result
 
 from . import commits
-from .adoption import NOTHING, RecentChanges, decode_offer, apply_changes, frozen
+from .adoption import NOTHING, RecentChanges, decode_offer, apply_changes, make_read_only
 from .commits import ConfigError
 from .in_force import HostRevision, InForce
 from .rows import HeadRow, read_changes, read_head, read_history, read_snapshot
@@ -253,7 +253,7 @@
         """Put ``tables`` in force; an old or equal revision changes nothing."""
         if tables.revision <= self._view.revision:
             return
-        self._view = frozen(tables)
+        self._view = make_read_only(tables)
         self._recent.add(changes, tables.revision)
         metrics.CONFIG_REVISION.set(tables.revision)
         log(events.CONFIG_ADOPTED, revision=tables.revision)
--- a/tests/machines/test_point8_config.py
+++ b/tests/machines/test_point8_config.py
@@ -151,7 +151,7 @@
 def lower_revisions_adopted(monkeypatch):
     async def receive(self, offer, *, pass_on=True):
         offered = service.decode_offer(offer)
-        self._view = service.frozen(offered.snapshot or self._view)
+        self._view = service.make_read_only(offered.snapshot or self._view)
 
     monkeypatch.setattr(ConfigService, "receive", receive)
 
