--- a/libs/config/src/bilberryhitch_config/rows.py
+++ b/libs/config/src/bilberryhitch_config/rows.py
@@ -20,8 +20,8 @@
 
 HEAD = "config/head"
 CHANGES = "config/change/"
-ROUTES = "config/route/"
-POOLS = "config/pool/"
+ROUTE_PREFIX = "config/route/"
+POOL_PREFIX = "config/pool/"
 PAGE_ROWS = 500
 # A commit during the scan of 5,500 rows is likely at 17,000 changes a day only
 # when the store is slow; more tries than this mean that it is not usable.
@@ -59,10 +59,10 @@
         Put(HEAD, encode(Head(change.revision))),
         Put(change_key(change.revision), encode_change(change)),
     ]
-    writes += [Delete(ROUTES + name) for name in rows.delete_routes]
-    writes += [Delete(POOLS + name) for name in rows.delete_pools]
-    writes += [Put(ROUTES + route.name, encode(route)) for route in rows.put_routes]
-    writes += [Put(POOLS + pool.name, encode(pool)) for pool in rows.put_pools]
+    writes += [Delete(ROUTE_PREFIX + name) for name in rows.delete_routes]
+    writes += [Delete(POOL_PREFIX + name) for name in rows.delete_pools]
+    writes += [Put(ROUTE_PREFIX + route.name, encode(route)) for route in rows.put_routes]
+    writes += [Put(POOL_PREFIX + pool.name, encode(pool)) for pool in rows.put_pools]
     return writes
 
 
@@ -120,8 +120,8 @@
     """
     head = await read_head(tables)
     for _ in range(SNAPSHOT_TRIES):
-        routes = await _read_table(tables, ROUTES, Route)
-        pools = await _read_table(tables, POOLS, Pool)
+        routes = await _read_table(tables, ROUTE_PREFIX, Route)
+        pools = await _read_table(tables, POOL_PREFIX, Pool)
         confirmed = await read_head(tables)
         if confirmed == head:
             return Tables(head.revision, routes, pools)
--- a/tests/machines/test_point8_config.py
+++ b/tests/machines/test_point8_config.py
@@ -170,8 +170,8 @@
 def unconfirmed_snapshot(monkeypatch):
     async def read_snapshot(tables):
         head = await rows.read_head(tables)
-        routes = await rows._read_table(tables, rows.ROUTES, rows.Route)
-        pools = await rows._read_table(tables, rows.POOLS, rows.Pool)
+        routes = await rows._read_table(tables, rows.ROUTE_PREFIX, rows.Route)
+        pools = await rows._read_table(tables, rows.POOL_PREFIX, rows.Pool)
         return rows.Tables(head.revision, routes, pools)
 
     monkeypatch.setattr(service, "read_snapshot", read_snapshot)
