--- a/libs/api/tests/test_admin.py
+++ b/libs/api/tests/test_admin.py
@@ -193,7 +193,7 @@
 
 @scenario
 async def test_status_and_outage(api):
-    api.config.hear_revision("muscat-ruwi-1", 4)
+    api.config.receive_revision("muscat-ruwi-1", 4)
     _, body = await api.call("GET", "config")
     assert body["hosts"][0]["revision"] == 4
     assert body["hosts"][0]["silent"] is False
--- a/libs/app/src/bilberryhitch/message_routing.py
+++ b/libs/app/src/bilberryhitch/message_routing.py
@@ -85,6 +85,6 @@
 
 def _hear_heartbeat(services: Services, heartbeat: Heartbeat) -> None:
     services.membership.receive_heartbeat(heartbeat)
-    services.config.hear_revision(heartbeat.host, heartbeat.config_revision)
+    services.config.receive_revision(heartbeat.host, heartbeat.config_revision)
     services.requests.receive_free_slots(heartbeat.host, heartbeat.free_slots)
     services.requests.receive_usage(heartbeat.host, heartbeat.usage)
--- a/libs/config/src/bilberryhitch_config/service.py
+++ b/libs/config/src/bilberryhitch_config/service.py
@@ -182,7 +182,7 @@
         self._send(sender, offer)
         return None
 
-    def hear_revision(self, host: str, revision: int) -> None:
+    def receive_revision(self, host: str, revision: int) -> None:
         """Take the revision of a peer's heartbeat; ask for it if it is higher."""
         self._in_force.hear(host, revision, self._time_s())
         if revision > self._view.revision:
--- a/libs/config/tests/test_service.py
+++ b/libs/config/tests/test_service.py
@@ -192,8 +192,8 @@
 async def test_heartbeat_of_a_higher_revision_is_asked_for(world):
     asked = []
     service, _ = world.service(send=lambda host, message: asked.append(host))
-    service.hear_revision("peer-1", 4)
-    service.hear_revision("peer-1", 4)
+    service.receive_revision("peer-1", 4)
+    service.receive_revision("peer-1", 4)
     assert asked == ["peer-1"]
     await asyncio.sleep(3)
     assert [(row.host, row.silent) for row in service.in_force()] == [("peer-1", True)]
--- a/tests/machines/world_point8_config.py
+++ b/tests/machines/world_point8_config.py
@@ -187,7 +187,7 @@
             process.held.append(lambda: self.arrive(sender, receiver, run, message))
             return
         if isinstance(message, int):
-            process.service.hear_revision(sender, message)
+            process.service.receive_revision(sender, message)
             return
         task = self.loop.create_task(process.service.handle(sender, message))
         process.calls.add(task)
