--- a/libs/config/src/bilberryhitch_config/service.py
+++ b/libs/config/src/bilberryhitch_config/service.py
@@ -139,10 +139,10 @@
         checked = commits.check(self._view, change, self._host_capacity())
         return Error(checked.error) if checked.is_error() else Ok(checked.ok)
 
-    async def receive(self, offer: ConfigOffer, *, pass_on: bool = True) -> None:
+    async def receive(self, offer: ConfigOffer, *, forward: bool = True) -> None:
         """Adopt a peer's offer if it leads to a higher revision.
 
-        :param pass_on: whether to offer it to the hosts of this data centre
+        :param forward: whether to offer it to the hosts of this data centre
         """
         before = self._view.revision
         if offer.revision <= before:
@@ -157,7 +157,7 @@
         self._adopt(apply_changes(self._view, offered.changes), offered.changes)
         if self._view.revision < offer.revision:
             self._ask("")
-        if pass_on and self._view.revision > before and self._broadcast_local:
+        if forward and self._view.revision > before and self._broadcast_local:
             self._broadcast_local(self._offer(before))
 
     def answer(self, ask: ConfigAsk) -> ConfigOffer | None:
--- a/tests/machines/test_point8_config.py
+++ b/tests/machines/test_point8_config.py
@@ -149,7 +149,7 @@
 
 
 def lower_revisions_adopted(monkeypatch):
-    async def receive(self, offer, *, pass_on=True):
+    async def receive(self, offer, *, forward=True):
         offered = service.decode_offer(offer)
         self._view = service.make_read_only(offered.snapshot or self._view)
 
