--- a/libs/api/src/bilberryhitch_api/admin.py
+++ b/libs/api/src/bilberryhitch_api/admin.py
@@ -112,7 +112,7 @@
         authenticate_operator(request, operators)
         revision = config.tables_view.revision
         body = {"revision": revision, "ready": config.ready}
-        return _json({**body, "hosts": config.in_force()})
+        return _json({**body, "hosts": config.host_revisions()})
 
     async def history(request: web.Request) -> web.Response:
         authenticate_operator(request, operators)
--- a/libs/config/src/bilberryhitch_config/rows.py
+++ b/libs/config/src/bilberryhitch_config/rows.py
@@ -61,7 +61,9 @@
     ]
     writes += [Delete(ROUTE_PREFIX + name) for name in rows.delete_routes]
     writes += [Delete(POOL_PREFIX + name) for name in rows.delete_pools]
-    writes += [Put(ROUTE_PREFIX + route.name, encode(route)) for route in rows.put_routes]
+    writes += [
+        Put(ROUTE_PREFIX + route.name, encode(route)) for route in rows.put_routes
+    ]
     writes += [Put(POOL_PREFIX + pool.name, encode(pool)) for pool in rows.put_pools]
     return writes
 
--- a/libs/config/src/bilberryhitch_config/service.py
+++ b/libs/config/src/bilberryhitch_config/service.py
@@ -16,7 +16,13 @@
 from expression import Error, Ok, Result
 
 from . import commits
-from .adoption import NOTHING, RecentChanges, decode_offer, apply_changes, make_read_only
+from .adoption import (
+    NOTHING,
+    RecentChanges,
+    decode_offer,
+    apply_changes,
+    make_read_only,
+)
 from .commits import ConfigError
 from .in_force import HostRevision, InForce
 from .rows import HeadRow, read_changes, read_head, read_history, read_snapshot
@@ -188,7 +194,7 @@
         if revision > self._view.revision:
             self._ask(host)
 
-    def in_force(self) -> list[HostRevision]:
+    def host_revisions(self) -> list[HostRevision]:
         """Return the revision of every host heard from, by its heartbeats."""
         return self._in_force.view(self._time_s())
 
--- a/libs/config/tests/test_service.py
+++ b/libs/config/tests/test_service.py
@@ -196,7 +196,9 @@
     service.receive_revision("peer-1", 4)
     assert asked == ["peer-1"]
     await asyncio.sleep(3)
-    assert [(row.host, row.silent) for row in service.in_force()] == [("peer-1", True)]
+    assert [(row.host, row.silent) for row in service.host_revisions()] == [
+        ("peer-1", True)
+    ]
 
 
 @scenario
