--- a/libs/config/src/bilberryhitch_config/commits.py
+++ b/libs/config/src/bilberryhitch_config/commits.py
@@ -20,7 +20,7 @@
 from bilberryhitch_platform import Expect, TableService, abandon, commit
 from expression import Error, Ok, Result
 
-from .adoption import check_change, apply_change
+from .adoption import apply_change, check_change
 from .rows import (
     HEAD,
     HeadRow,
--- a/libs/config/src/bilberryhitch_config/service.py
+++ b/libs/config/src/bilberryhitch_config/service.py
@@ -19,8 +19,8 @@
 from .adoption import (
     NOTHING,
     RecentChanges,
-    decode_offer,
     apply_changes,
+    decode_offer,
     make_read_only,
 )
 from .commits import ConfigError
