--- a/libs/planner/src/bilberryhitch_planner/units.py
+++ b/libs/planner/src/bilberryhitch_planner/units.py
@@ -25,7 +25,7 @@
 class Unit:
     """A gang or a single task.
 
-    :ivar index: of the task in its step, or ``GANG``
+    :ivar index: of the task in its step, or ``GANG_INDEX``
     :ivar runs: runs that may exist, by index of the task
     :ivar across_racks: its guarantee can only be met away from its rack
     :ivar adopted: its latest run is known although an earlier planner began it
