--- a/libs/planner/src/bilberryhitch_planner/advice.py
+++ b/libs/planner/src/bilberryhitch_planner/advice.py
@@ -1,7 +1,7 @@
-"""Permissions of an advice service for the steps of some queues.
+"""Permissions of the advice service, which some queues need for each worker.
 
-Which workers may run a step does not change; a permission holds for a time and has
-to be asked for again after it.
+The set of workers that may run a step never changes. A granted permission expires
+after a time and has to be requested again.
 """
 
 from collections.abc import Sequence
@@ -11,15 +11,16 @@
 from .units import StepOccurrence
 from .workers import Worker
 
-# The service answers later with each worker that is named.
+# The response time of the service grows with each worker in the request.
 MAX_WORKERS_PER_REQUEST = 30
-# A permission must outlast the start that uses it.
+# A permission must remain valid until the start that uses it is carried out.
 MIN_VALIDITY_S = 0.7
+# Added to the expected response time of the service before a request is repeated.
 ADVICE_MARGIN_S = 0.3
 
 
 class Permissions:
-    """What is known of one step."""
+    """Permissions of one step occurrence, by worker."""
 
     def __init__(self) -> None:
         self._tickets: dict[str, tuple[str, float]] = {}
@@ -27,21 +28,24 @@
         self._ask_after = 0.0
 
     def ticket(self, worker: str) -> str:
-        """Return a worker's ticket; empty for none."""
+        """Return the ticket of a worker; empty if there is none."""
         return self._tickets.get(worker, ("", 0.0))[0]
 
     def is_granted(self, worker: str, now: float) -> bool:
-        """Return whether a worker may be used now."""
+        """Return whether a valid permission for a worker exists."""
         return self._tickets.get(worker, ("", 0.0))[1] > now + MIN_VALIDITY_S
 
     def discard_ticket(self, worker: str) -> None:
-        """Forget a ticket that a worker did not take."""
+        """Discard a ticket that a worker rejected."""
         self._tickets.pop(worker, None)
 
     def next_request(
         self, step: StepOccurrence, workers: Sequence[Worker], now: float
     ) -> AdviceRequest | None:
-        """Return whom to ask about, or None while an answer is due."""
+        """Return the next request to the advice service.
+
+        :returns: None if all workers are known or a reply is still expected
+        """
         if now < self._ask_after:
             return None
         unknown = [
@@ -53,7 +57,7 @@
         ]
         if not unknown:
             return None
-        # Gangs that are bound to a rack need answers for whole racks.
+        # Gangs that must run in one rack need permissions for whole racks.
         unknown.sort(key=lambda worker: (worker.entry.rack, worker.entry.worker))
         names = tuple(
             worker.entry.worker for worker in unknown[:MAX_WORKERS_PER_REQUEST]
@@ -68,7 +72,11 @@
     def apply_reply(
         self, asked: Sequence[str], granted: dict[str, str], valid_until: float
     ) -> None:
-        """Take an answer; who was asked about and not granted is refused."""
+        """Apply a reply; requested workers that are not granted are refused for good.
+
+        :param granted: ticket by worker
+        :param valid_until: monotonic time at which the tickets expire
+        """
         self._ask_after = 0.0
         for name in asked:
             if name not in granted:
--- a/libs/planner/src/bilberryhitch_planner/cluster_state.py
+++ b/libs/planner/src/bilberryhitch_planner/cluster_state.py
@@ -1,4 +1,4 @@
-"""What the planner knows of jobs, workers and runs, and what follows from an end."""
+"""Jobs, workers and runs as the planner knows them, and the handling of ended runs."""
 
 from bilberryhitch_jobs import JobState, TaskName
 from bilberryhitch_telemetry import events, log
@@ -17,21 +17,24 @@
 from .units import StepOccurrence, TrackedJob, Unit
 from .workers import Worker
 
-# A run without progress for this part of its estimate stands still: one that is
-# slowed down eight times, on a worker of little speed, still gains several percent.
+# A run without progress for this share of its estimated run time is stalled. Even a
+# run that is slowed down eightfold on a slow worker gains several percent in that time.
 STALL_SHARE = 0.25
-# Three looks at an urgent run; nothing that works stands still for longer.
+# Three heartbeats of an urgent run; a run that works shows progress within this time.
 MIN_STALL_TIMEOUT_S = 1.2
 MAX_STALL_TIMEOUT_S = 3.5
 
 
 class ClusterState:
-    """Jobs, workers and the runs that join them.
+    """Jobs, workers and the runs of the jobs on the workers.
 
+    :ivar jobs: jobs by name
+    :ivar workers: workers by identifier of their incarnation
     :ivar dirty: names of the jobs whose progress must be stored
-    :ivar orders: orders that are due to be sent
-    :ivar ready: steps whose earlier steps are done
-    :ivar kept: room that is being made for urgent units
+    :ivar orders: orders to be sent
+    :ivar ready: steps whose dependencies are done, by job, occurrence and step index
+    :ivar preemptions: capacity that is being freed for urgent units
+    :ivar permissions: permissions of the advice service, by the same key as ``ready``
     """
 
     def __init__(self) -> None:
@@ -44,14 +47,14 @@
         self.permissions: dict[tuple[str, int, int], Permissions] = {}
 
     def permissions_of(self, step: StepOccurrence) -> Permissions | None:
-        """Return what is known of a step whose queue needs permissions."""
+        """Return the permissions of a step; None if its queue needs none."""
         if step.job.queue.advice is None:
             return None
         key = (step.job.request.job, step.occurrence, step.index)
         return self.permissions.setdefault(key, Permissions())
 
     def queue_ready_steps(self, job: TrackedJob, now: float) -> None:
-        """Let the steps run whose earlier steps are done."""
+        """Queue the steps of a job whose dependencies are done."""
         for (occurrence, index), step in job.steps.items():
             key = (job.request.job, occurrence, index)
             if key in self.ready or not step.undone or not step.ready:
@@ -61,7 +64,7 @@
                 unit.waiting_since = max(unit.waiting_since, min(now, job.arrived_at))
 
     def finish_job(self, job: TrackedJob, state: JobState, unix_s: float) -> None:
-        """End a job and stop what is left of it."""
+        """Finish a job and stop its remaining runs."""
         job.state = state
         job.finished_s = unix_s
         name = job.request.job
@@ -79,7 +82,7 @@
     def apply_ended(
         self, worker: Worker, ended: EndedTask, now: float, unix_s: float
     ) -> None:
-        """Take an end that a worker lists; a known one is passed over."""
+        """Apply an ended run listed by a worker; a known one is ignored."""
         if ended.sequence <= worker.last_end_sequence:
             return
         worker.last_end_sequence = ended.sequence
@@ -115,7 +118,7 @@
         now: float,
         unix_s: float,
     ) -> None:
-        """Release a run that is gone and draw the consequences for its unit."""
+        """Release the resources of an ended run and update its unit."""
         worker.drop_run(run)
         if how is EndKind.DONE:
             worker.note_success()
@@ -138,7 +141,7 @@
         now: float,
         unix_s: float,
     ) -> None:
-        """Apply the end of one of a unit's runs."""
+        """Apply the end of one run of a unit."""
         step, job = unit.step, unit.step.job
         if unit.done:
             return
@@ -169,13 +172,13 @@
             self.queue_ready_steps(job, now)
 
     def _requeue(self, unit: Unit, now: float) -> None:
-        """Queue a unit whose last run is gone."""
+        """Queue a unit again once all its runs have ended."""
         if not unit.runs:
             unit.waiting_since = now
             unit.step.waiting[unit.index] = unit
 
     def apply_running(self, worker: Worker, running: RunningTask, now: float) -> None:
-        """Take a run that a worker lists as running."""
+        """Apply an active run listed by a worker."""
         run = worker.runs.get((running.task, running.run))
         if run is None:
             run = self._adopt(worker, running, now)
@@ -193,10 +196,11 @@
             run.saved = running.saved
 
     def _adopt(self, worker: Worker, running: RunningTask, now: float) -> Run:
-        """Book a run that this planner has not ordered; stop it if unneeded."""
+        """Add a run that this planner did not start; stop it if it is not needed."""
         job = self.jobs.get(running.task.job)
         unit = job.find_unit(running.task) if job else None
-        # What is stopped still takes its room; an unknown job's task may take all.
+        # A run holds its resources until it has stopped. The demand of an unknown
+        # job's task is unknown, so it counts as the whole worker.
         demand = job.demand_of(running.task) if job else None
         needed = (
             job is not None
@@ -232,7 +236,7 @@
         run.state = RunState.RUNNING
         unit.runs[running.task.ordinal] = run
         unit.last_run = running.run
-        # A gang's unseen members may be on a worker that cannot be asked.
+        # The missing members of a gang may be on workers that cannot be reached.
         unit.adopted = len(unit.runs) == len(unit.task_indexes)
         unit.step.waiting.pop(unit.index, None)
         if not job.begun:
@@ -241,7 +245,7 @@
         return run
 
     def order_stop(self, run: Run) -> None:
-        """Stop a run once."""
+        """Order a run to be stopped, unless that was ordered before."""
         if run.state is RunState.STOPPING:
             return
         run.state = RunState.STOPPING
@@ -249,7 +253,7 @@
         self.orders.append(StopOrder(run.worker, run.task, run.number))
 
     def stop_other_members(self, run: Run) -> None:
-        """Stop the other members of a gang that cannot come together."""
+        """Stop the other members of a gang of which one member cannot run."""
         if run.unit is None:
             return
         for other in run.unit.runs.values():
@@ -257,15 +261,15 @@
                 self.order_stop(other)
 
     def stop_if_stalled(self, worker: Worker, run: Run) -> None:
-        """Stop a unit of which a run stands still."""
+        """Stop all runs of a unit if the given run is stalled."""
         unit = run.unit
         if (
             run.state is not RunState.RUNNING
             or unit is None
             or unit.step.step.long_running
-            # Its processor time is what others leave, which may be nothing.
+            # It only gets CPU time that other tasks leave idle, possibly none.
             or unit.step.step.uses_idle_cpu
-            # A gang's faster members wait for the others with their work done.
+            # Members of a gang that are done wait for the slower ones.
             or run.percent >= COMPLETE_PERCENT
             or worker.answered_at - run.advanced_at < _stall_timeout_s(unit, run)
         ):
@@ -284,10 +288,10 @@
 
 
 def _stall_timeout_s(unit: Unit, run: Run) -> float:
-    """Return how long a run may show no progress.
+    """Return how long a run may make no progress, in seconds.
 
-    A gang begins with its last member, so one of which nothing has begun gets
-    the longest time.
+    A gang starts to work once its last member has started, so a gang without any
+    progress gets the longest time.
     """
     if not any(other.percent for other in unit.runs.values()):
         return MAX_STALL_TIMEOUT_S
@@ -296,5 +300,5 @@
 
 
 def format_task(task: TaskName) -> str:
-    """Return a task's name for logs."""
+    """Format the name of a task for logs."""
     return f"{task.job}.{task.occurrence}.{task.step}.{task.ordinal}"
--- a/libs/planner/src/bilberryhitch_planner/errors.py
+++ b/libs/planner/src/bilberryhitch_planner/errors.py
@@ -1,10 +1,10 @@
-"""Typed failures of calls to workers."""
+"""Exceptions of the job planner."""
 
 from bilberryhitch_model.errors import BilberryhitchError
 
 
 class WorkerFenced(BilberryhitchError):
-    """A worker has seen a later planner's fencing token."""
+    """A worker or machine has seen a higher fencing token, of a later planner."""
 
     code = "worker_fenced"
 
@@ -14,7 +14,7 @@
 
 
 class WorkerGone(BilberryhitchError):
-    """Another incarnation answers at the worker's address."""
+    """Another incarnation of the worker answers at its address."""
 
     code = "worker_gone"
 
@@ -24,7 +24,7 @@
 
 
 class WorkerUnreachable(BilberryhitchError):
-    """A call got no usable answer and may have been carried out."""
+    """A call got no usable response and may have taken effect."""
 
     code = "worker_unreachable"
 
@@ -35,7 +35,7 @@
 
 
 class Deposed(BilberryhitchError):
-    """Another host holds the planner's lease."""
+    """Another host holds the leader lease."""
 
     code = "deposed"
 
@@ -45,7 +45,7 @@
 
 
 class Isolated(BilberryhitchError):
-    """Most workers cannot be reached from this host."""
+    """This host cannot reach most of the workers."""
 
     code = "isolated"
 
--- a/libs/planner/src/bilberryhitch_planner/event_wait.py
+++ b/libs/planner/src/bilberryhitch_planner/event_wait.py
@@ -1,13 +1,13 @@
-"""Waits for events with a limit, in a way that never loses a cancellation."""
+"""Waits for events with a timeout without losing a cancellation."""
 
 import asyncio
 
 
 async def wait_for_event(event: asyncio.Event, timeout_s: float) -> bool:
-    """Return whether an event is set within a time.
+    """Wait until an event is set, and return False on a timeout.
 
-    ``asyncio.wait_for`` of CPython 3.11 drops a cancellation that meets the end of
-    what it waits for, and the task that was to end goes on for ever.
+    ``asyncio.wait_for`` of CPython 3.11 drops a cancellation that arrives in the same
+    loop iteration as the event, and the cancelled task never ends.
     """
     try:
         async with asyncio.timeout(timeout_s):
--- a/libs/planner/src/bilberryhitch_planner/guarantees.py
+++ b/libs/planner/src/bilberryhitch_planner/guarantees.py
@@ -1,4 +1,4 @@
-"""What client accounts are guaranteed and what they hold of it."""
+"""Guaranteed accelerators of client accounts and how many of them are in use."""
 
 from collections.abc import Iterable
 
@@ -10,9 +10,9 @@
 
 
 class Guarantees:
-    """Accelerators that urgent work of each account may claim.
+    """Guaranteed and used accelerators of each client account.
 
-    Only work of priority 0 counts; what is being stopped does not.
+    Only work of priority 0 counts as usage, and runs that are being stopped do not.
     """
 
     def __init__(self) -> None:
@@ -20,11 +20,11 @@
         self._held: dict[str, int] = {}
 
     def configure(self, accounts: Iterable[Account]) -> None:
-        """Take over the configured guarantees."""
+        """Set the guarantees."""
         self._guaranteed = {each.name: each.guaranteed_gpu for each in accounts}
 
     def count(self, workers: Iterable[Worker]) -> None:
-        """Count anew what is held."""
+        """Recount the accelerators in use."""
         self._held = {}
         for worker in workers:
             for run in worker.runs.values():
@@ -32,17 +32,20 @@
                     self._add(run.unit, run.demand.gpu)
 
     def claim(self, unit: Unit) -> None:
-        """Count a unit that is about to be started."""
+        """Count the accelerators of a unit that is about to be started."""
         self._add(unit, unit_gpus(unit))
 
     def covers(self, unit: Unit) -> bool:
-        """Return whether a unit that waits is within its account's guarantee."""
+        """Return whether a waiting unit fits into its account's guarantee."""
         account = unit.step.job.request.account
         wanted = self._held.get(account, 0) + unit_gpus(unit)
         return wanted <= self._guaranteed.get(account, 0)
 
     def allows_preemption(self, unit: Unit) -> bool:
-        """Return whether a unit uses what is guaranteed to nobody or to others."""
+        """Return whether a unit may be preempted.
+
+        That is so if it uses capacity beyond its account's guarantee.
+        """
         job = unit.step.job
         if unit.step.step.long_running:
             return False
@@ -60,5 +63,5 @@
 
 
 def unit_gpus(unit: Unit) -> int:
-    """Return the accelerators that a unit needs in all."""
+    """Return the total number of accelerators that a unit needs."""
     return len(unit.task_indexes) * unit.step.step.demand.gpu
--- a/libs/planner/src/bilberryhitch_planner/liveness.py
+++ b/libs/planner/src/bilberryhitch_planner/liveness.py
@@ -1,21 +1,21 @@
-"""Notices the end of another host's process sooner than by its silence."""
+"""Detects the end of another host's process earlier than the lease expires."""
 
 import asyncio
 from contextlib import suppress
 
-# A host behind a cut answers nothing; its process may live on.
+# An unreachable host does not answer, but its process may still be running.
 CONNECT_TIMEOUT_S = 1.0
 PROBE_RETRY_S = 0.5
 
 
 async def wait_for_process_end(address: str) -> None:
-    """Return when nothing listens at an address any more.
+    """Wait until nothing listens at an address any more.
 
-    The kernel of a host closes the connections of a process that was killed and
-    refuses new ones. A host without power or behind a cut tells nothing, and a reset
-    of connections alone proves nothing.
+    When a process is killed, the kernel of its host closes its connections and
+    refuses new ones. A host that is powered off or unreachable gives no such sign,
+    and a connection reset alone does not prove that the process has ended.
 
-    :param address: ``ip:port`` on which the process listens all its life
+    :param address: ``ip:port`` on which the process listens for its whole lifetime
     """
     host, _, port = address.rpartition(":")
     while True:
--- a/libs/planner/src/bilberryhitch_planner/ordering.py
+++ b/libs/planner/src/bilberryhitch_planner/ordering.py
@@ -1,19 +1,19 @@
-"""The order in which waiting work is placed."""
+"""Order in which waiting units are placed."""
 
 from .units import StepOccurrence
 
-# Estimates of run times are rough: work counts as too late only when it would miss
-# its objective by more than this share of what is left of it.
+# Run time estimates are rough: a step counts as late only if it would miss its objective
+# by more than this share of the remaining run time.
 LATE_MARGIN = 0.3
 
 
 def step_sort_key(step: StepOccurrence, now: float) -> tuple[float, ...]:
-    """Return the sort key of a step's waiting units.
+    """Return the sort key of a step with waiting units.
 
-    Queues of lower priority number come first. Within a priority, work that can still
-    meet its objective goes before work that cannot, and the least slack first.
+    Queues with a lower priority number come first. Within a priority, steps that can
+    still meet their objective come before late ones, and the least slack comes first.
 
-    :param now: steady clock in seconds
+    :param now: monotonic time in seconds
     """
     job = step.job
     left_s = job.remaining_s(step.index)
--- a/libs/planner/src/bilberryhitch_planner/placement.py
+++ b/libs/planner/src/bilberryhitch_planner/placement.py
@@ -1,6 +1,6 @@
 """Chooses workers for gangs and single tasks.
 
-Tasks are packed on the workers that have the least room left, which keeps whole
+Tasks are packed on the workers with the least free capacity, which keeps whole
 workers and racks free for gangs.
 """
 
@@ -12,18 +12,20 @@
 from .units import Unit
 from .workers import Worker
 
-# Differences below this are noise of the estimate.
+# Speed estimates that differ by less than this are treated as equal.
 SPEED_RESOLUTION = 0.15
-# Part of a pool's workers that is spared for urgent work.
+# Share of a pool's workers that is set aside for urgent work while less than
+# HEADROOM_IDLE_SHARE of the pool's accelerators is free.
 HEADROOM_SHARE = 1 / 8
 HEADROOM_IDLE_SHARE = 0.5
 
 
 def headroom(workers: Sequence[Worker]) -> frozenset[str]:
-    """Return idle workers that only urgent work may use.
+    """Return the idle workers that are set aside for urgent work.
 
-    Urgent gangs are short and have little slack; without room for them each arrival
-    in a full pool stops other work. While half of the pool is idle nothing is spared.
+    Urgent gangs are short and have little slack. Without headroom each arrival in a
+    full pool preempts other work. While at least half of the pool's accelerators are
+    free, nothing is set aside.
     """
     total = sum(worker.entry.capacity.gpu for worker in workers)
     free = sum(worker.free.gpu for worker in workers)
@@ -37,12 +39,15 @@
     return frozenset(sorted(idle)[: int(len(workers) * HEADROOM_SHARE)])
 
 
-def slots(free: Resources, step: Step, booked: int = 0) -> int:
-    """Return how many tasks of a step fit into free capacity."""
-    # The innermost loop of planning: plain comparisons are twice as fast as min().
+def slots(free: Resources, step: Step, placed: int = 0) -> int:
+    """Return how many tasks of a step fit into free capacity.
+
+    :param placed: tasks of the same occurrence that the worker runs already
+    """
+    # This is the innermost loop: plain comparisons are twice as fast as min().
     demand = step.demand
     most = (
-        step.max_tasks_per_worker - booked
+        step.max_tasks_per_worker - placed
         if step.max_tasks_per_worker
         else step.task_count
     )
@@ -55,16 +60,16 @@
     return max(0, most)
 
 
-def task_slots(worker: Worker, step: Step, booked: int = 0) -> int:
-    """Return how many more tasks of a step a worker has room for.
+def task_slots(worker: Worker, step: Step, placed: int = 0) -> int:
+    """Return how many more tasks of a step fit on a worker.
 
-    :param booked: tasks of the same occurrence that it runs already
+    :param placed: tasks of the same occurrence that it runs already
     """
-    return slots(worker.free, step, booked)
+    return slots(worker.free, step, placed)
 
 
 def total_slots(worker: Worker, step: Step) -> int:
-    """Return how many tasks of a step an empty worker has room for."""
+    """Return how many tasks of a step fit on the worker when it is empty."""
     return slots(worker.entry.capacity, step)
 
 
@@ -76,13 +81,13 @@
 def place_gang(
     unit: Unit, workers: Sequence[Worker], pool: Sequence[Worker], *, across_racks: bool
 ) -> dict[int, Worker] | None:
-    """Return a worker for each task of a gang, or None if there is no room.
+    """Return the worker of each task of a gang, or None if the gang does not fit.
 
-    A gang that is bound to a rack waits for one, unless no rack could ever hold it.
+    A gang that must run in one rack waits for one, unless no rack is large enough.
 
     :param workers: workers that the gang may use now
-    :param pool: workers that it may use at some time
-    :param across_racks: more than one rack will do if no single one has room
+    :param pool: all workers that the gang may use once they are free
+    :param across_racks: whether the gang may span racks if it fits into no single one
     """
     step = unit.step.step
     order = _fastest_first if unit.step.job.queue.priority == 0 else _fullest_first
@@ -99,7 +104,7 @@
 def locality_groups(
     step: Step, workers: Sequence[Worker], pool: Sequence[Worker]
 ) -> list[list[Worker]]:
-    """Return groups of workers in one of which a gang should run as a whole."""
+    """Return groups of workers; a gang should run within one of them."""
     racks = _locality_racks(step, pool)
     if not racks:
         return [list(workers)]
@@ -108,7 +113,7 @@
 
 
 def _locality_racks(step: Step, pool: Sequence[Worker]) -> list[str]:
-    """Return the racks one of which a gang should be on; none if it is free."""
+    """Return the racks in one of which a gang should run; empty if any mix will do."""
     racks = _group_by_rack(pool)
     if step.data_rack and _holds_when_empty(racks.get(step.data_rack, ()), step):
         return [step.data_rack]
@@ -120,18 +125,18 @@
 def place_task(
     unit: Unit, workers: Iterable[Worker], *, any_rack: bool
 ) -> Worker | None:
-    """Return a worker for a single task, or None if there is no room.
+    """Return a worker for a single task, or None if there is none with capacity.
 
-    :param any_rack: a rack without the task's data will do
+    :param any_rack: whether a rack without the task's data is allowed
     """
     step = unit.step.step
-    booked = _tasks_by_worker(unit) if step.max_tasks_per_worker else {}
+    placed = _tasks_by_worker(unit) if step.max_tasks_per_worker else {}
     best: tuple[tuple[object, ...], Worker] | None = None
     for worker in workers:
         away = bool(step.data_rack) and worker.entry.rack != step.data_rack
         if away and not any_rack:
             continue
-        if task_slots(worker, step, booked.get(worker.entry.worker, 0)) < 1:
+        if task_slots(worker, step, placed.get(worker.entry.worker, 0)) < 1:
             continue
         rank = (away, *_fullest_first(worker), worker.entry.worker)
         if best is None or rank < best[0]:
@@ -153,7 +158,11 @@
 def _fill(
     workers: list[Worker], step: Step, order: Callable[[Worker], tuple[float, ...]]
 ) -> tuple[int, list[Worker]] | None:
-    """Return accelerators left over and a worker for each task, or None."""
+    """Fill workers in the given order with the tasks of a gang.
+
+    :returns: the accelerators left free and the worker of each task; None if the
+        gang does not fit
+    """
     members: list[Worker] = []
     for worker in sorted(workers, key=order):
         members += [worker] * min(
@@ -166,7 +175,7 @@
 
 
 def _tasks_by_worker(unit: Unit) -> dict[str, int]:
-    """Count the tasks of the unit's occurrence by worker."""
+    """Count the runs of the unit's step occurrence by worker."""
     counts: dict[str, int] = {}
     for other in unit.step.units.values():
         for run in other.runs.values():
@@ -175,10 +184,10 @@
 
 
 def _fullest_first(worker: Worker) -> tuple[float, ...]:
-    """Sort the fullest workers first, and slowed ones last."""
+    """Sort key: the fullest workers first, slow ones last."""
     return worker.speed < SLOW_WORKER_SPEED, worker.free.gpu, worker.free.cpu
 
 
 def _fastest_first(worker: Worker) -> tuple[float, ...]:
-    """Sort the fastest workers first: a gang ends with its slowest member."""
+    """Sort key: the fastest workers first, as a gang ends with its slowest member."""
     return -round(worker.speed / SPEED_RESOLUTION), worker.free.gpu, worker.free.cpu
--- a/libs/planner/src/bilberryhitch_planner/preemption.py
+++ b/libs/planner/src/bilberryhitch_planner/preemption.py
@@ -1,4 +1,4 @@
-"""Chooses runs to stop so that an urgent gang within its guarantee can start."""
+"""Chooses runs to preempt so that an urgent unit within its guarantee can start."""
 
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
@@ -10,21 +10,22 @@
 from .units import TrackedJob, Unit
 from .workers import Worker
 
-# An accelerator's work is worth this many cores in what a stop throws away.
+# Weight of one accelerator, in cores, in the cost of lost work.
 CORES_PER_GPU = 8
-# A stop takes less than a second; after this the room is given up.
+# A stop takes less than a second. If the capacity is not free after this time, the
+# preemption counts as failed.
 HOLD_TIMEOUT_S = 1.2
-# A run that saves its progress loses at most about this much.
+# A run that writes checkpoints loses about this much work at most.
 CHECKPOINT_PERIOD_S = 1.0
 
 
 class PreemptionPlan(NamedTuple):
-    """A way to make room.
+    """Units to be preempted for another unit.
 
-    :param units: what is stopped
-    :param workers: where the room arises, kept for the unit that needs it
-    :param cost: core-seconds of work thrown away
-    :param across_racks: no rack that the unit is bound to can be cleared
+    :param units: units to be stopped
+    :param workers: workers whose capacity is freed, held for the unit that needs it
+    :param cost: lost work in core-seconds
+    :param across_racks: no single rack can be cleared, so the workers span racks
     """
 
     units: tuple[Unit, ...]
@@ -34,14 +35,14 @@
 
 
 class PendingPreemptions:
-    """Workers whose room is being made for one unit."""
+    """Workers held for the units for which their capacity is being freed."""
 
     def __init__(self) -> None:
         self._units: dict[str, Unit] = {}
         self._until: dict[str, float] = {}
 
     def hold_workers(self, workers: tuple[str, ...], unit: Unit, now: float) -> None:
-        """Keep workers for a unit for a while."""
+        """Hold workers for a unit; see ``HOLD_TIMEOUT_S``."""
         for name in workers:
             self._units[name] = unit
             self._until[name] = now + HOLD_TIMEOUT_S
@@ -51,20 +52,20 @@
         return self._units.get(worker.entry.worker, unit) is unit
 
     def pending_for(self, unit: Unit, now: float) -> bool:
-        """Return whether room for the unit should still become free."""
+        """Return whether capacity for the unit is still expected to become free."""
         return any(
             now < self._until[name]
-            for name, kept in self._units.items()
-            if kept is unit
+            for name, holder in self._units.items()
+            if holder is unit
         )
 
     def release(self, unit: Unit) -> None:
-        """Give up what is kept for a unit."""
-        for name in [name for name, kept in self._units.items() if kept is unit]:
+        """Release the workers held for a unit."""
+        for name in [name for name, holder in self._units.items() if holder is unit]:
             del self._units[name], self._until[name]
 
     def release_job(self, job: TrackedJob) -> None:
-        """Give up what is kept for a job."""
+        """Release the workers held for the units of a job."""
         for unit in list(self._units.values()):
             if unit.step.job is job:
                 self.release(unit)
@@ -73,10 +74,17 @@
 def plan_preemption(
     unit: Unit,
     workers: Sequence[Worker],
-    evictable: Callable[[Unit], bool],
+    preemptible: Callable[[Unit], bool],
     now: float,
 ) -> PreemptionPlan | None:
-    """Return the cheapest way to make room for a unit, in one rack if it needs one."""
+    """Return the cheapest preemption for a unit, or None if there is none.
+
+    A unit that must run in one rack gets one rack cleared if possible, else workers
+    across racks.
+
+    :param workers: workers that the unit may use
+    :param preemptible: returns whether a unit may be preempted
+    """
     step = unit.step.step
     missing = len(unit.task_indexes)
     if step.same_rack or step.data_rack:
@@ -84,32 +92,34 @@
         for worker in workers:
             racks.setdefault(worker.entry.rack, []).append(worker)
         groups = list(racks.values())
-        eviction = cheapest_preemption(step, missing, groups, evictable, now)
-        if eviction is not None:
-            return eviction
-        eviction = cheapest_preemption(step, missing, [workers], evictable, now)
-        return eviction and eviction._replace(across_racks=True)
-    return cheapest_preemption(step, missing, [workers], evictable, now)
+        preemption = cheapest_preemption(step, missing, groups, preemptible, now)
+        if preemption is not None:
+            return preemption
+        preemption = cheapest_preemption(step, missing, [workers], preemptible, now)
+        return preemption and preemption._replace(across_racks=True)
+    return cheapest_preemption(step, missing, [workers], preemptible, now)
 
 
 def cheapest_preemption(
     step: Step,
     missing: int,
     racks: Sequence[Sequence[Worker]],
-    evictable: Callable[[Unit], bool],
+    preemptible: Callable[[Unit], bool],
     now: float,
 ) -> PreemptionPlan | None:
-    """Return the cheapest eviction that makes room for ``missing`` tasks.
+    """Return the cheapest preemption that frees capacity for ``missing`` tasks.
 
-    :param racks: groups of workers; all tasks go into one of them
-    :param evictable: whether a unit may be stopped
+    :param racks: groups of workers; all tasks must fit into one of them
+    :param preemptible: returns whether a unit may be preempted
     """
-    options = (_preempt_group(step, missing, rack, evictable, now) for rack in racks)
-    return min(filter(None, options), key=lambda eviction: eviction.cost, default=None)
+    options = (_preempt_group(step, missing, rack, preemptible, now) for rack in racks)
+    return min(
+        filter(None, options), key=lambda preemption: preemption.cost, default=None
+    )
 
 
 def lost_core_seconds(unit: Unit, now: float) -> float:
-    """Return core-seconds that a stop of a unit throws away."""
+    """Return the work that is lost if a unit is stopped, in core-seconds."""
     step = unit.step.step
     cores = step.demand.cpu / 1000 + step.demand.gpu * CORES_PER_GPU
     elapsed = max((now - run.ordered_at for run in unit.runs.values()), default=0.0)
@@ -122,7 +132,7 @@
     step: Step,
     missing: int,
     workers: Sequence[Worker],
-    evictable: Callable[[Unit], bool],
+    preemptible: Callable[[Unit], bool],
     now: float,
 ) -> PreemptionPlan | None:
     stopped: dict[int, Unit] = {}
@@ -133,7 +143,7 @@
         (
             plan
             for worker in workers
-            if (plan := _plan_worker(step, worker, evictable, now))
+            if (plan := _plan_worker(step, worker, preemptible, now))
         ),
         key=lambda plan: plan.cost / plan.slots,
     )
@@ -156,16 +166,16 @@
 
 
 def _plan_worker(
-    step: Step, worker: Worker, evictable: Callable[[Unit], bool], now: float
+    step: Step, worker: Worker, preemptible: Callable[[Unit], bool], now: float
 ) -> _WorkerPlan | None:
-    """Stop the cheapest runs of a worker until no further task would fit."""
+    """Choose the cheapest runs of a worker until no further task would fit."""
     free = worker.free
     for run in worker.runs.values():
         if run.state is RunState.STOPPING:
             free = free.plus(run.demand)
     most = total_slots(worker, step)
     victims = sorted(
-        (run for run in worker.runs.values() if _may_preempt(run, evictable)),
+        (run for run in worker.runs.values() if _may_preempt(run, preemptible)),
         key=lambda run: lost_core_seconds(run.unit, now) if run.unit else 0.0,
     )
     best = slots(free, step)
@@ -187,9 +197,9 @@
     )
 
 
-def _may_preempt(run: Run, evictable: Callable[[Unit], bool]) -> bool:
+def _may_preempt(run: Run, preemptible: Callable[[Unit], bool]) -> bool:
     return (
         run.state is not RunState.STOPPING
         and run.unit is not None
-        and evictable(run.unit)
+        and preemptible(run.unit)
     )
--- a/libs/planner/src/bilberryhitch_planner/reservations.py
+++ b/libs/planner/src/bilberryhitch_planner/reservations.py
@@ -1,8 +1,7 @@
-"""Reserves workers for gangs that wait, so that later work does not keep them out.
+"""Reserves workers for waiting gangs, so that smaller work does not starve them.
 
-A wide gang needs many workers at the same moment. Without a reservation whatever is
-smaller takes each of them as it becomes free, and the gang waits for ever in a pool
-that is never idle.
+A wide gang needs many workers at the same time. Without a reservation smaller units
+take each worker as it becomes free, and the gang never starts in a busy pool.
 """
 
 from collections.abc import Sequence
@@ -16,23 +15,24 @@
 from .units import Unit
 from .workers import Worker
 
-# Workers that wait for a gang do nothing else at last; the rest of a pool goes on
-# with short work. Trials with the emulator: journal/trials.
+# Reserved workers become idle before the gang starts; the rest of the pool continues
+# with other work.
 MAX_RESERVED_POOL_SHARE = 0.75
-# Expected ends differ by about this much from one look to the next.
+# Estimates of the end of a run vary by about this much between heartbeats.
 MIN_SWITCH_GAIN_S = 1.0
-# Gangs considered in one round, which bounds its processor time.
+# Limit on the gangs considered in one round, which bounds its CPU time.
 MAX_GANGS_PER_ROUND = 14
-# Progress below this says too little of a run's length; its estimate is used.
+# Below this progress the rate is too uncertain; the run time estimate is used.
 MIN_PROGRESS_PERCENT = 5.0
-# A stop takes less than this, whatever the run had left.
+# Upper bound on the time that a stop takes.
 STOP_DURATION_S = 0.5
 
 
 class Reservation(NamedTuple):
-    """Workers that are kept for one gang.
+    """Workers reserved for one gang.
 
-    :param ready_at: steady time at which the last of them should be free
+    :param workers: identifiers of the workers
+    :param ready_at: monotonic time at which all of them are expected to be free
     """
 
     unit: Unit
@@ -41,10 +41,10 @@
 
 
 class Reservations:
-    """Reservations of one round of planning.
+    """Reservations of one scheduling round.
 
-    :param now: steady time of the round
-    :param previous: those of the round before
+    :param now: monotonic time of the round
+    :param previous: reservations of the previous round
     """
 
     def __init__(self, now: float, previous: "Reservations | None" = None) -> None:
@@ -58,7 +58,8 @@
     def allows(self, worker: Worker, unit: Unit) -> bool:
         """Return whether a unit may use a worker.
 
-        Work that should be done before the gang can start does not delay it.
+        A reserved worker may be used for units that are expected to end before the
+        gang can start (backfilling).
         """
         found = self._by_worker.get(worker.entry.worker)
         if found is None or found.unit is unit:
@@ -68,9 +69,9 @@
     def reserve(
         self, unit: Unit, workers: Sequence[Worker], pool: Sequence[Worker]
     ) -> None:
-        """Reserve the workers on which a gang can start soonest.
+        """Reserve the workers on which a gang can start earliest.
 
-        :param workers: workers that it may use
+        :param workers: workers that the gang may use
         :param pool: all workers of its service
         """
         most = int(len(pool) * MAX_RESERVED_POOL_SHARE) - len(self._by_worker)
@@ -89,7 +90,8 @@
         if previous is not None and all(name in free for name in previous.workers):
             group = [free[name] for name in previous.workers]
             kept = self._earliest_reservation(unit, group, most)
-            # Workers that have been emptied so far are not given up for a guess.
+            # Workers that have been partly emptied for the gang are kept unless the
+            # new choice is clearly better.
             if best and kept and kept.ready_at - best.ready_at < MIN_SWITCH_GAIN_S:
                 best = kept
         if best is not None:
@@ -99,7 +101,10 @@
     def _earliest_reservation(
         self, unit: Unit, group: Sequence[Worker], most: int
     ) -> Reservation | None:
-        """Return the workers of a group that are free first and hold the whole gang."""
+        """Return the earliest reservation of a whole gang within a group.
+
+        :param most: limit on the number of reserved workers
+        """
         step = unit.step.step
         missing = step.task_count
         names: list[str] = []
@@ -124,7 +129,10 @@
         return None
 
     def _available_at(self, worker: Worker, step: Step) -> tuple[float, int]:
-        """Return when a worker has room for as many tasks as it ever holds."""
+        """Return when a worker is free for as many tasks as it can hold, and how many.
+
+        :returns: monotonic time and number of tasks
+        """
         most = slots(worker.entry.capacity, step)
         free_at, free = self._now, worker.free
         for end, demand in self._expected_releases(worker):
@@ -134,7 +142,7 @@
         return free_at, slots(free, step)
 
     def _expected_releases(self, worker: Worker) -> list[tuple[float, Resources]]:
-        """Return when a worker's runs should end and what they release."""
+        """Return the expected end of each run of a worker and the resources it frees."""
         name = worker.entry.worker
         if name not in self._releases:
             ends = [
@@ -146,7 +154,7 @@
 
 
 def expected_end(run: Run, now: float) -> float:
-    """Return the steady time at which a run should end."""
+    """Return the monotonic time at which a run is expected to end."""
     if run.state is RunState.STOPPING:
         return now + STOP_DURATION_S
     if run.percent >= MIN_PROGRESS_PERCENT and not (run.unit and run.unit.saved):
--- a/libs/planner/src/bilberryhitch_planner/scheduling_round.py
+++ b/libs/planner/src/bilberryhitch_planner/scheduling_round.py
@@ -1,4 +1,4 @@
-"""One round of planning: places waiting work, reserves workers, stops borrowers."""
+"""One scheduling round: placement, reservation and preemption."""
 
 from collections.abc import Mapping
 
@@ -15,26 +15,29 @@
 from .units import StepOccurrence, Unit
 from .workers import Worker
 
-# The objective of an urgent job leaves about a second beside its own run time, of
-# which a stop takes up to 0.9 s; only what frees within a round is waited for.
+# Wait before other work is preempted, enough for capacity that frees within a round.
+# The objective of an urgent job leaves about one second besides its run time, and a
+# stop takes up to 0.9 s of it.
 PREEMPT_AFTER_S = 0.05
-# A last attempt avoids workers whose last run failed for this long.
+# How long the last attempt of a unit waits for a worker without a recent failure.
 SUSPECT_WAIT_S = 1.5
-# Data on another rack is fetched after this wait while half of the room is idle.
+# Wait before a task may run on another rack than its data, and the share of CPU that
+# must be idle for that.
 REMOTE_DATA_AFTER_S = 1.5
 IDLE_SHARE = 0.5
 
 
 class SchedulingRound:
-    """Decisions of one moment on a planner's books.
+    """Scheduling decisions for one moment.
 
-    :param guarantees: what each account holds, counted for this round
+    :param state: jobs, workers and runs; updated by the decisions
+    :param guarantees: usage of each client account, counted for this round
     :param usable: workers that may get new runs, by service
-    :param previous: reservations of the round before
-    :param blocked: what an earlier planner may have started must wait
-    :param now: steady time
-    :ivar questions: what to ask the advice service
-    :ivar reserved: workers that are kept for gangs that wait
+    :param previous: reservations of the previous round
+    :param blocked: units that an earlier planner may have started must wait
+    :param now: monotonic time in seconds
+    :ivar advice_requests: requests to be sent to the advice service
+    :ivar reserved: workers reserved for waiting gangs
     """
 
     def __init__(
@@ -59,7 +62,11 @@
         }
 
     def place_step(self, step: StepOccurrence) -> None:
-        """Start what has room of a step's waiting units, or make room for it."""
+        """Start the waiting units of a step that fit.
+
+        For the first unit that does not fit, capacity is freed by preemption or
+        workers are reserved; the units after it wait.
+        """
         now = self._now
         all_workers = self._usable.get(step.job.queue.service, [])
         workers = [
@@ -92,10 +99,13 @@
     def _place(
         self, unit: Unit, workers: list[Worker], any_rack: bool
     ) -> dict[int, Worker] | None:
-        """Choose workers, those whose last run failed only if there is no other."""
+        """Choose workers; use those with a recent failure only as a last resort.
+
+        :returns: the worker of each task, by task index; None if the unit must wait
+        """
         job, now = unit.step.job, self._now
         spared = self._headroom.get(job.queue.service, frozenset())
-        # A guarantee is kept in time whatever else waits.
+        # A unit within its guarantee may use workers reserved for other gangs.
         guaranteed = job.queue.priority == 0 and self._guarantees.covers(unit)
         allowed = [
             worker
@@ -114,7 +124,7 @@
         return members
 
     def _remote_data_allowed(self, step: StepOccurrence, workers: list[Worker]) -> bool:
-        """Return whether single tasks may run away from their data."""
+        """Return whether single tasks may run on another rack than their data."""
         rack = step.step.data_rack
         if not rack or all(worker.entry.rack != rack for worker in workers):
             return True
@@ -160,9 +170,9 @@
         )
 
     def _preempt(self, unit: Unit, workers: list[Worker]) -> bool:
-        """Stop others' work if the unit's account is below its guarantee.
+        """Preempt other work if the unit is within its account's guarantee.
 
-        :returns: whether room is being made for the unit
+        :returns: whether capacity is being freed for the unit
         """
         now = self._now
         if self._state.preemptions.pending_for(unit, now):
--- a/libs/planner/src/bilberryhitch_planner/units.py
+++ b/libs/planner/src/bilberryhitch_planner/units.py
@@ -1,7 +1,7 @@
-"""The planner's books on jobs: steps and the units that are placed.
+"""Jobs as the planner tracks them: occurrences of steps and their units.
 
-A unit is a gang or a single task. It has at most one set of runs with one run
-number at a time.
+A unit is what is placed as a whole: a gang or a single task. At any time all its runs
+have the same run number.
 """
 
 from collections.abc import Iterator
@@ -23,14 +23,19 @@
 
 
 class Unit:
-    """A gang or a single task.
+    """A gang or a single task, placed as a whole.
 
-    :ivar index: of the task in its step, or ``GANG_INDEX``
+    :ivar index: index of the task in its step, or ``GANG_INDEX``
+    :ivar last_run: number of the latest run; 0 before the first
+    :ivar failed_runs: numbers of the failed runs
+    :ivar saved: latest checkpoint; empty if there is none
     :ivar runs: runs that may exist, by index of the task
-    :ivar across_racks: its guarantee can only be met away from its rack
-    :ivar adopted: its latest run is known although an earlier planner began it
-    :ivar retry_at: steady time before which it is not started again
-    :ivar waiting_since: steady time from which it could have run
+    :ivar across_racks: capacity is being freed across racks, since no single rack
+        can be cleared for it
+    :ivar adopted: all tasks of its latest run are known, although an earlier planner
+        started it
+    :ivar retry_at: monotonic time before which it is not started again
+    :ivar waiting_since: monotonic time since which it has been ready to run
     """
 
     __slots__ = (
@@ -64,7 +69,7 @@
 
     @property
     def task_indexes(self) -> range:
-        """Indexes of its tasks."""
+        """Indexes of its tasks in the step."""
         if self.index == GANG_INDEX:
             return range(self.step.step.task_count)
         return range(self.index, self.index + 1)
@@ -77,7 +82,7 @@
 
     @property
     def attempts_left(self) -> int:
-        """Failed runs that it may still have."""
+        """Number of further runs that may fail before the job fails."""
         return self.step.job.queue.max_attempts - len(self.failed_runs)
 
     @property
@@ -89,9 +94,10 @@
 
 
 class StepOccurrence:
-    """One occurrence of a step.
+    """One occurrence of a step of a scheduled job.
 
-    :ivar waiting: units that are neither done nor may be running, by index
+    :ivar units: all units, by index
+    :ivar waiting: units to be placed: not done and without runs, by index
     :ivar undone: number of units that are not done
     """
 
@@ -113,14 +119,14 @@
 
     @property
     def ready(self) -> bool:
-        """Whether all earlier steps of the occurrence are done."""
+        """Whether all dependencies within the occurrence are done."""
         return all(
             self.job.steps[self.occurrence, earlier].undone == 0
             for earlier in self.step.depends_on
         )
 
     def mark_done(self, unit: Unit) -> None:
-        """Count a unit as done, once."""
+        """Mark a unit as done; a unit that is done already is left unchanged."""
         if unit.done:
             return
         unit.done = True
@@ -131,10 +137,12 @@
 class TrackedJob:
     """An accepted job.
 
-    :ivar queue: its route as last configured
-    :ivar revision: version of the store at its acceptance
+    :ivar initial: progress when this planner learned of the job
+    :ivar queue: settings of its queue, as last configured
+    :ivar revision: store revision of its acceptance
     :ivar inherited: an earlier planner may have started its tasks
-    :ivar arrived_at: steady time of its acceptance, as far as it is known
+    :ivar arrived_at: monotonic time of its acceptance; for inherited jobs estimated
+        from the wall clock
     """
 
     def __init__(
@@ -165,17 +173,17 @@
 
     @property
     def objective_s(self) -> float:
-        """Time from its acceptance within which it should be completed."""
+        """Target time from acceptance to completion, in seconds."""
         longest = max(self._chains, default=0.0)
         return self.queue.stretch * longest + self.queue.target_s
 
     def remaining_s(self, index: int) -> float:
-        """Return the estimated time from a step's start to the job's end."""
+        """Return the estimated seconds from the start of a step to the job's end."""
         return self._chains[index]
 
     @property
     def finished(self) -> bool:
-        """Whether nothing of it may start any more."""
+        """Whether it is completed, failed or cancelled."""
         return self.state in FINISHED_STATES
 
     @property
@@ -185,13 +193,13 @@
 
     @property
     def units(self) -> Iterator[Unit]:
-        """All its units."""
+        """Units of all its steps."""
         for step in self.steps.values():
             yield from step.units.values()
 
     @property
     def begun(self) -> bool:
-        """Whether a task of it has ever been started."""
+        """Whether any of its tasks has been started."""
         return self.state is not JobState.PENDING
 
     def find_unit(self, task: TaskName) -> Unit | None:
@@ -202,7 +210,10 @@
         return step.units[GANG_INDEX if step.step.gang else task.ordinal]
 
     def demand_of(self, task: TaskName) -> Resources | None:
-        """Return what a task takes, also of a job that has ended."""
+        """Return the resources of a task; None if the job has no such step.
+
+        Works for finished jobs as well, whose runs hold resources until they stop.
+        """
         if not 0 <= task.step < len(self.request.steps):
             return None
         return self.request.steps[task.step].reserved_resources
@@ -218,7 +229,7 @@
 
 
 def _remaining_chains(steps: tuple[Step, ...]) -> tuple[float, ...]:
-    """Return, for each step, the longest estimated chain that begins with it."""
+    """Return the estimated seconds of the longest dependency chain from each step."""
     chains = [step.estimate_s for step in steps]
     for index in reversed(range(len(steps))):
         for earlier in steps[index].depends_on:
--- a/libs/planner/src/bilberryhitch_planner/upkeep.py
+++ b/libs/planner/src/bilberryhitch_planner/upkeep.py
@@ -1,4 +1,4 @@
-"""Takes machines down for the upkeep that the operator asks for, a few at a time."""
+"""Takes machines down for maintenance (upkeep) in waves requested by the operator."""
 
 import asyncio
 import time
@@ -19,25 +19,28 @@
 from .workers import Worker
 
 RECORD_TABLE = "upkeep"
-# Upkeep takes seconds; each round reads the list of machines once.
+# Maintenance takes seconds. The list of machines is read once per period.
 POLL_PERIOD_S = 0.5
-# A machine's upkeep is visible in the list this long after its order at the latest.
+# The list of machines shows a machine as down at most this long after its order.
 LISTING_LAG_S = 1.0
-# Work on a machine that is to go down may end by itself for at most this long.
+# Longest time that runs on a machine may use to end by themselves before takedown.
 MAX_DRAIN_S = 8.0
-# What a machine is away for besides the time that its work is waited for.
+# Downtime of a machine, on top of the time for which its runs are waited for.
 DOWNTIME_S = 4.0
-# A slow store stores an order's record within this; else the next round tries again.
+# How long to wait for the store to write the record of an order; on a timeout the next
+# period tries again.
 FLUSH_TIMEOUT_S = 2.0
-# A lasting task is at work at this percentage.
+# A long-running task is fully working at this percentage.
 FULLY_WORKING_PERCENT = 100.0
 
 
 class Wave(NamedTuple):
-    """Upkeep of some machines.
+    """A maintenance wave: machines that are all to be taken down once.
 
-    :param duration_s: time within which all of them should have had it
-    :param most_down: machines that may be down for it at a time
+    :param number: identifier of the wave
+    :param machines: names of the machines
+    :param duration_s: target time for the whole wave
+    :param most_down: number of machines that may be down at a time
     """
 
     number: int
@@ -47,10 +50,10 @@
 
 
 class Machine(NamedTuple):
-    """A machine as the platform lists it.
+    """A machine as listed by the platform.
 
-    :param worker: incarnation that runs on it
-    :param up: it is neither down nor on its way to another pool
+    :param worker: identifier of the worker incarnation that runs on it
+    :param up: it is neither down nor moving to another pool
     """
 
     name: str
@@ -59,9 +62,9 @@
 
 
 class UpkeepOutcome(StrEnum):
-    """How the platform answered an order of upkeep.
+    """Result of a maintenance order.
 
-    ``BEGUN`` is also answered for a machine that has had it.
+    ``BEGUN`` is also returned for a machine whose maintenance is over.
     """
 
     BEGUN = "begun"
@@ -72,27 +75,31 @@
 
 
 class UpkeepCalls(Protocol):
-    """Calls to the platform's machines."""
+    """Calls to the platform's interface for machines."""
 
     async def list_machines(self) -> tuple[Machine, ...]:
         """Return all machines.
 
-        :raises MachinesUnknown: if the list cannot be read whole
+        :raises MachinesUnknown: if the list cannot be read completely
         """
 
     async def begin_upkeep(
         self, machine: str, wave: int, *, token: int
     ) -> UpkeepOutcome:
-        """Take a machine down; what runs on it ends at once."""
+        """Take a machine down; its runs end at once.
+
+        :param wave: number of the wave
+        :param token: fencing token of the planner
+        """
 
 
 class WaveState:
-    """What is known of one wave.
+    """State of one maintenance wave.
 
     :param ordered: machines that an earlier planner may have ordered down
-    :ivar ordered: worker that ran on each machine when it was first ordered down;
-        empty for what an earlier planner ordered
-    :ivar leaving: machines that get no new work, since when
+    :ivar ordered: for each machine ordered down, the worker that ran on it then;
+        empty for orders of an earlier planner
+    :ivar draining: machines that get no new runs, and since which monotonic time
     """
 
     def __init__(self, wave: Wave, ordered: Iterable[str]) -> None:
@@ -104,35 +111,35 @@
 
     @property
     def record_write(self) -> RowWrite:
-        """The row that tells a successor which machines were ordered down."""
+        """The row that lists the ordered machines for a successor."""
         ordered = msgspec.json.encode(sorted(self.ordered))
         return RowWrite(RECORD_TABLE, str(self.wave.number), ordered)
 
     @property
     def drain_s(self) -> float:
-        """How long the work of a machine may go on before it is taken down."""
+        """How long a machine may drain before it is taken down, in seconds."""
         rounds = -(-len(self.wave.machines) // max(1, self.wave.most_down))
         return min(MAX_DRAIN_S, max(0.0, self.wave.duration_s / rounds - DOWNTIME_S))
 
     def apply_outcome(self, machine: str, outcome: UpkeepOutcome, now: float) -> None:
-        """Take the answer to an order."""
+        """Apply the result of an order."""
         if outcome is UpkeepOutcome.BEGUN:
             self._begun.setdefault(machine, now)
         elif outcome is UpkeepOutcome.NOT_OF_WAVE:
             self._excluded.add(machine)
         elif outcome is UpkeepOutcome.BUSY:
-            # It is certain that this order did nothing.
+            # This order certainly had no effect.
             self.ordered.pop(machine, None)
         if outcome is not UpkeepOutcome.UNKNOWN:
             self.draining.pop(machine, None)
 
     def complete(self, machines: Mapping[str, Machine]) -> bool:
-        """Return whether every machine that still exists has begun its upkeep."""
+        """Return whether maintenance has begun on every machine that still exists."""
         present = self.wave.machines & machines.keys()
         return present <= self._begun.keys() | self._excluded
 
     def unanswered(self, machines: Mapping[str, Machine]) -> list[str]:
-        """Return ordered machines whose order must be repeated until it is certain."""
+        """Return the machines whose order must be repeated, as its result is unknown."""
         open_orders = self.ordered.keys() - self._begun.keys() - self._excluded
         return sorted(open_orders & machines.keys())
 
@@ -142,9 +149,10 @@
         cost: Callable[[Machine], float | None],
         now: float,
     ) -> list[str]:
-        """Return machines to take down now; others are marked as leaving.
+        """Return the machines to take down now; others start to drain.
 
-        :param cost: what is lost on a machine, or None if it may not go down now
+        :param cost: returns the lost work in core-seconds if a machine is taken down
+            now, or None if that is not allowed
         """
         free = self.wave.most_down - len(self._down(machines, now))
         for name in [name for name in self.draining if name not in machines]:
@@ -156,7 +164,7 @@
             for name in waiting
             if machines[name].up and (price := cost(machines[name])) is not None
         ]
-        # Machines that leave already come first, so that their idle time is not lost.
+        # Draining machines come first, so that their drain time is not wasted.
         priced.sort(key=lambda each: (each[1] not in self.draining, each))
         chosen = priced[: max(0, free)]
         for _, name in chosen:
@@ -168,7 +176,7 @@
         ]
 
     def _down(self, machines: Mapping[str, Machine], now: float) -> set[str]:
-        """Return machines that are, or may be, down for the wave."""
+        """Return the machines of the wave that are down or may be."""
         back = {
             name
             for name, begun_at in self._begun.items()
@@ -185,10 +193,13 @@
 
 
 class UpkeepController:
-    """Carries out the operator's waves while this host plans.
+    """Carries out the operator's maintenance waves while this host plans.
 
-    :param waves: returns the waves that are asked for
-    :param encode_status: returns the row that tells the operator of a wave's state
+    :param token: fencing token of the planner
+    :param waves: returns the waves that the operator has requested
+    :param encode_status: returns the row that reports to the operator whether the
+        wave with the given number is complete
+    :param on_change: called after the planner's state has changed
     """
 
     def __init__(
@@ -215,9 +226,9 @@
         self._done: set[int] = set()
 
     async def run(self) -> None:
-        """Work through the waves until cancelled.
+        """Carry out the waves until cancelled.
 
-        :raises WorkerFenced: if a later planner has given orders
+        :raises WorkerFenced: if a later planner has sent orders
         """
         records: dict[int, list[str]] | None = None
         while True:
@@ -259,7 +270,7 @@
         self._update_cordon(machines)
         for name in due:
             book.ordered[name] = machines[name].worker
-            # A successor must know of an order that is carried out late.
+            # The order may take effect late, so it is recorded for a successor first.
             self._state_writer.put(book.record_write)
             if not await self._state_writer.flush(FLUSH_TIMEOUT_S):
                 continue
@@ -305,7 +316,7 @@
             return {}
 
     def _update_cordon(self, machines: Mapping[str, Machine]) -> None:
-        """Keep new work off the machines that are about to go down."""
+        """Cordon the workers on draining machines."""
         self._planner.cordoned = frozenset(
             machines[name].worker
             for book in self._wave_states.values()
@@ -321,9 +332,10 @@
 
 
 def takedown_cost(worker: Worker, now: float) -> float | None:
-    """Return core-seconds lost if a worker ends now; None if it may not.
+    """Return the lost work in core-seconds if a worker is taken down now.
 
-    Lasting steps bound how many of their tasks may be away by the product's doing.
+    :returns: None if that would leave a long-running step with more unavailable
+        tasks than its ``max_unavailable`` allows
     """
     cost = 0.0
     steps = {}
