--- a/libs/planner/src/bilberryhitch_planner/guarantees.py
+++ b/libs/planner/src/bilberryhitch_planner/guarantees.py
@@ -44,7 +44,8 @@
     def allows_preemption(self, unit: Unit) -> bool:
         """Return whether a unit may be preempted.
 
-        That is so if it uses capacity beyond its account's guarantee.
+        That is so if it uses capacity beyond its account's guarantee. Long-running
+        units are never preempted.
         """
         job = unit.step.job
         if unit.step.step.long_running:
--- a/libs/planner/src/bilberryhitch_planner/ordering.py
+++ b/libs/planner/src/bilberryhitch_planner/ordering.py
@@ -2,8 +2,8 @@
 
 from .units import StepOccurrence
 
-# Run time estimates are rough: a step counts as late only if it would miss its objective
-# by more than this share of the remaining run time.
+# Run time estimates are rough: a step counts as late only if it would miss its
+# objective by more than this share of the remaining run time.
 LATE_MARGIN = 0.3
 
 
--- a/libs/planner/src/bilberryhitch_planner/reports.py
+++ b/libs/planner/src/bilberryhitch_planner/reports.py
@@ -1,4 +1,4 @@
-"""What workers say of themselves and of what they run."""
+"""Registrations and replies of workers, and the orders sent to them."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,7 +7,11 @@
 
 
 class EndKind(StrEnum):
-    """How a run ended."""
+    """How a run ended.
+
+    ``LAPSED``: its lease expired or its worker ended. ``BROKEN``: another member of
+    its gang ended. ``ALONE``: the other members of its gang did not start in time.
+    """
 
     DONE = "done"
     FAILED = "failed"
@@ -18,14 +22,14 @@
 
 
 class WorkerEntry(NamedTuple):
-    """One incarnation of a worker, as it registered itself.
+    """Registration of one worker incarnation.
 
     :param worker: identifier of the incarnation
     :param service: pool that it belongs to
     :param address: ``ip:port``
     :param rack: empty if unknown
-    :param draining: it takes nothing new and leaves soon
-    :param remaining_s: least time until it leaves, while it drains
+    :param draining: it accepts no new runs and shuts down soon
+    :param remaining_s: minimum time in seconds until it shuts down, while draining
     """
 
     worker: str
@@ -40,11 +44,12 @@
 
 
 class RunningTask(NamedTuple):
-    """A run that a worker holds.
+    """An active run on a worker.
 
-    :param saved: last checkpoint; empty for none
-    :param percent: part of the work done, or of its target while it lasts
-    :param load: processor use in thousandths of a core, or tail latency in ms
+    :param run: run number
+    :param saved: latest checkpoint; empty if there is none
+    :param percent: work done, or share of the target of a long-running task; 0 to 100
+    :param load: CPU use in millicores, or tail latency in ms of a serving task
     """
 
     task: TaskName
@@ -55,9 +60,11 @@
 
 
 class EndedTask(NamedTuple):
-    """An end that a worker lists until it is acknowledged.
+    """An ended run, listed by its worker until it is acknowledged.
 
-    :param sequence: rises within an incarnation
+    :param sequence: sequence number, increasing within an incarnation
+    :param run: run number
+    :param saved: latest checkpoint; empty if there is none
     """
 
     sequence: int
@@ -68,10 +75,12 @@
 
 
 class HeartbeatReply(NamedTuple):
-    """A worker's answer to an extension of its lease.
+    """A worker's reply to a heartbeat.
 
-    :param clock_s: the worker's steady clock
-    :param born_ms: Unix time of the worker's start; 0 if it does not say
+    :param clock_s: the worker's monotonic clock in seconds
+    :param born_ms: Unix time of the worker's start in ms; 0 if unknown
+    :param running: active runs
+    :param ended: ended runs that have not been acknowledged
     """
 
     clock_s: float
@@ -81,7 +90,7 @@
 
 
 class StartOutcome(StrEnum):
-    """How a worker answered a start."""
+    """Result of a start order."""
 
     STARTED = "started"
     FENCED = "fenced"
@@ -96,7 +105,7 @@
 
 
 class StopOutcome(StrEnum):
-    """How a worker answered a stop."""
+    """Result of a stop order."""
 
     STOPPED = "stopped"
     FENCED = "fenced"
@@ -105,11 +114,13 @@
 
 
 class StartOrder(NamedTuple):
-    """A run to be started.
+    """An order to start a run.
 
-    :param spec: the caller's text
-    :param saved: checkpoint to resume from; empty for none
-    :param ticket: permission of the advice service; empty for none
+    :param worker: identifier of the worker incarnation
+    :param run: run number
+    :param spec: task specification as submitted by the caller
+    :param saved: checkpoint to resume from; empty if there is none
+    :param ticket: permission of the advice service; empty if none is needed
     """
 
     worker: str
@@ -121,7 +132,7 @@
 
 
 class StopOrder(NamedTuple):
-    """A run to be stopped."""
+    """An order to stop a run."""
 
     worker: str
     task: TaskName
@@ -129,9 +140,9 @@
 
 
 class ThrottleOrder(NamedTuple):
-    """The share of its processor time at which a run may work.
+    """An order to limit the CPU time of a run.
 
-    :param percent: 0 to 100
+    :param percent: allowed share of its CPU time, 0 to 100
     """
 
     worker: str
@@ -141,7 +152,10 @@
 
 
 class AdviceRequest(NamedTuple):
-    """A question to the advice service about one occurrence of a step."""
+    """A request to the advice service for one occurrence of a step.
+
+    :param workers: identifiers of the workers to be permitted
+    """
 
     job: str
     occurrence: int
@@ -150,9 +164,10 @@
 
 
 class Advice(NamedTuple):
-    """The advice service's answer.
+    """Reply of the advice service.
 
-    :param granted: ticket by worker
+    :param granted: ticket by worker; other requested workers are refused
+    :param valid_s: validity of the tickets in seconds
     """
 
     granted: dict[str, str]
--- a/libs/planner/src/bilberryhitch_planner/reservations.py
+++ b/libs/planner/src/bilberryhitch_planner/reservations.py
@@ -142,7 +142,7 @@
         return free_at, slots(free, step)
 
     def _expected_releases(self, worker: Worker) -> list[tuple[float, Resources]]:
-        """Return the expected end of each run of a worker and the resources it frees."""
+        """Return the expected end and the resources of each run of a worker, sorted."""
         name = worker.entry.worker
         if name not in self._releases:
             ends = [
--- a/libs/planner/src/bilberryhitch_planner/runs.py
+++ b/libs/planner/src/bilberryhitch_planner/runs.py
@@ -10,9 +10,10 @@
 
 
 class RunState(Enum):
-    """What is known of a run.
+    """State of a run as known to the planner.
 
-    ``ORDERED``: the start has not been answered; it may be there or come yet.
+    ``ORDERED``: the start order has not been answered; the run may exist or start
+    later.
     """
 
     ORDERED = auto()
@@ -21,16 +22,22 @@
 
 
 class Run:
-    """A run that may exist on a worker, and holds its room there.
+    """A run that may exist on a worker and has resources allocated there.
 
-    :ivar unit: what it belongs to, or None for a run nobody needs
-    :ivar rate: percent per second at the last look
-    :ivar load: processor time in use, or tail latency in ms of a task that serves
-    :ivar pace: percent at which it may work, as last ordered
-    :ivar cpu_percent_known: that order, or its start, was this planner's
-    :ivar settled_at: steady time of the answer after which a listing without
-        the run proves that it is gone; None while it may still appear
-    :ivar advanced_at: steady time of the last visible progress
+    :ivar number: run number
+    :ivar worker: identifier of the worker incarnation
+    :ivar unit: unit that it belongs to; None for a run that is not needed
+    :ivar saved: latest checkpoint; empty if there is none
+    :ivar rate: progress in percent per second, updated by heartbeats
+    :ivar load: CPU use in millicores, or tail latency in ms of a serving task
+    :ivar cpu_percent: allowed share of its CPU time, as last ordered
+    :ivar cpu_percent_known: this planner started the run or gave that order
+    :ivar throttled_at: monotonic time of the last throttle order
+    :ivar ordered_at: monotonic time at which it was ordered or adopted
+    :ivar settled_at: monotonic time of the response to the last order. A later
+        heartbeat reply without the run proves that it has ended. None while the run
+        may still appear.
+    :ivar advanced_at: monotonic time of the last observed progress
     """
 
     __slots__ = (
--- a/libs/planner/src/bilberryhitch_planner/speeds.py
+++ b/libs/planner/src/bilberryhitch_planner/speeds.py
@@ -1,37 +1,39 @@
-"""Learns how fast workers are by comparing runs of the same step."""
+"""Estimates the relative speed of workers by comparing runs of the same step."""
 
 from .runs import Run
 from .workers import Worker
 
-# Tasks of a step differ by a few tenths in work; this many looks average it out.
+# Weight of one sample in the moving average. The work of a step's tasks differs by a
+# few tens of percent, which averages out over the samples.
 SAMPLE_WEIGHT = 0.12
-# Looks sooner than this tell more of the start than of the worker.
+# Earlier samples measure the start-up of the run rather than the worker.
 MIN_ELAPSED_S = 1.0
 COMPLETE_PERCENT = 100.0
 MIN_COMPARED_RUNS = 3
-# One look must not call a worker dead or miraculous.
+# Limits of one sample, so that a single outlier has little effect.
 MIN_RELATIVE_SPEED, MAX_RELATIVE_SPEED = 0.1, 2.0
-# Disturbances last several seconds, and an avoided worker is not looked at.
+# Below this speed a worker counts as slow and is avoided. Disturbances last several
+# seconds and an avoided worker yields no samples, so its speed recovers with each tick.
 SLOW_WORKER_SPEED = 0.6
 RECOVERY_WEIGHT = 0.02
 
 
 def recover_speed(worker: Worker) -> None:
-    """Let a disturbed worker be tried again after some seconds of ticks."""
+    """Raise the speed of a slow worker a little, so that it is tried again later."""
     if worker.speed < SLOW_WORKER_SPEED:
         worker.speed += RECOVERY_WEIGHT * (1.0 - worker.speed)
 
 
 def update_speed(worker: Worker, run: Run, now: float) -> None:
-    """Take one look at a run into its worker's speed.
+    """Update the speed of a worker with a sample of one of its runs.
 
-    The rate of progress is compared with that of the step's other runs, so that the
-    step's own length and its estimate do not matter.
+    The rate of progress is compared with that of the step's other runs, so the length
+    of the step and its estimate do not matter.
     """
     unit = run.unit
     elapsed_s = now - run.ordered_at
     if unit is None or unit.saved or elapsed_s < MIN_ELAPSED_S:
-        # A resumed run's progress is not all of this worker's making.
+        # The progress of a resumed run was partly made by another worker.
         return
     if run.percent >= COMPLETE_PERCENT:
         return
--- a/libs/planner/src/bilberryhitch_planner/throttling.py
+++ b/libs/planner/src/bilberryhitch_planner/throttling.py
@@ -1,40 +1,41 @@
-"""Slows tasks that use spare processor time where they disturb tasks that serve."""
+"""Throttles tasks that use idle CPU time where they slow down serving tasks."""
 
 from .reports import ThrottleOrder
 from .runs import Run, RunState
 from .workers import Worker
 
-# Serving tasks should stay below their bound with room for a sudden rise.
+# Tail latency as a share of its target: tasks are throttled above the first value and
+# sped up below the second. The rest is headroom for a sudden rise.
 SLOW_DOWN_SHARE = 0.85
 SPEED_UP_SHARE = 0.65
-# Going down quickly ends a violation within its allowed seconds; going up slowly
-# keeps the load from swinging.
+# Halving ends a violation within the allowed seconds; slow increases avoid
+# oscillation.
 SLOW_DOWN_FACTOR = 0.5
 SPEED_UP_PERCENT = 10
 MIN_PERCENT = 5
 FULL_PERCENT = 100
-# A change takes effect after about 0.1 s and shows in a figure over half a second.
+# A change takes effect after about 0.1 s, and the latency is measured over 0.5 s.
 THROTTLE_DELAY_S = 0.7
-# An order may have been lost, or given by an earlier planner.
+# Orders are repeated, as one may have been lost or replaced by an earlier planner's.
 REPEAT_INTERVAL_S = 3.0
 
 
 def shares_processor(worker: Worker) -> bool:
-    """Return whether a worker has both tasks that serve and tasks that fill."""
+    """Return whether a worker runs both serving and idle-CPU tasks."""
     kinds = {_workload_kind(run) for run in worker.runs.values()}
-    return {"serves", "fills"} <= kinds
+    return {"serving", "idle_cpu"} <= kinds
 
 
 def throttle_orders(worker: Worker, now: float) -> list[ThrottleOrder]:
-    """Return orders that bring a worker's filling tasks to the pace they may have."""
+    """Return the orders that adjust the CPU share of a worker's idle-CPU tasks."""
     runs = [run for run in worker.runs.values() if run.state is RunState.RUNNING]
-    filling = [run for run in runs if _workload_kind(run) == "fills"]
-    serving = [run for run in runs if _workload_kind(run) == "serves"]
-    if not filling:
+    idle_cpu_runs = [run for run in runs if _workload_kind(run) == "idle_cpu"]
+    serving = [run for run in runs if _workload_kind(run) == "serving"]
+    if not idle_cpu_runs:
         return []
     latency_ratio = max((_latency_ratio(run) for run in serving), default=0.0)
     orders = []
-    for run in filling:
+    for run in idle_cpu_runs:
         if now - run.throttled_at < THROTTLE_DELAY_S:
             continue
         cpu_percent = (
@@ -68,7 +69,7 @@
 
 
 def _latency_ratio(run: Run) -> float:
-    """Return a serving task's tail latency as a share of its bound."""
+    """Return the tail latency of a serving task as a share of its target."""
     return run.load / 1000 / run.unit.step.step.latency_target_s if run.unit else 0.0
 
 
@@ -77,5 +78,5 @@
         return ""
     step = run.unit.step.step
     if step.uses_idle_cpu:
-        return "fills"
-    return "serves" if step.long_running and step.latency_target_s else ""
+        return "idle_cpu"
+    return "serving" if step.long_running and step.latency_target_s else ""
--- a/libs/planner/src/bilberryhitch_planner/upkeep.py
+++ b/libs/planner/src/bilberryhitch_planner/upkeep.py
@@ -139,7 +139,7 @@
         return present <= self._begun.keys() | self._excluded
 
     def unanswered(self, machines: Mapping[str, Machine]) -> list[str]:
-        """Return the machines whose order must be repeated, as its result is unknown."""
+        """Return machines whose order must be repeated, as its result is unknown."""
         open_orders = self.ordered.keys() - self._begun.keys() - self._excluded
         return sorted(open_orders & machines.keys())
 
@@ -256,50 +256,52 @@
         records: Mapping[int, list[str]],
         machines: Mapping[str, Machine],
     ) -> None:
-        book = self._wave_states.get(wave.number)
-        if book is None:
-            book = WaveState(wave, records.get(wave.number, ()))
-            self._wave_states[wave.number] = book
+        wave_state = self._wave_states.get(wave.number)
+        if wave_state is None:
+            wave_state = WaveState(wave, records.get(wave.number, ()))
+            self._wave_states[wave.number] = wave_state
             self._state_writer.put(self._encode_status(wave.number, False))
             log(events.WAVE_BEGUN, wave=wave.number, machines=len(wave.machines))
-        book.wave = wave
-        for name in book.unanswered(machines):
+        wave_state.wave = wave
+        for name in wave_state.unanswered(machines):
             if self._cost(machines[name]) is not None:
-                await self._order(book, machines[name])
-        due = book.select(machines, self._cost, time.monotonic())
+                await self._order(wave_state, machines[name])
+        due = wave_state.select(machines, self._cost, time.monotonic())
         self._update_cordon(machines)
         for name in due:
-            book.ordered[name] = machines[name].worker
+            wave_state.ordered[name] = machines[name].worker
             # The order may take effect late, so it is recorded for a successor first.
-            self._state_writer.put(book.record_write)
+            self._state_writer.put(wave_state.record_write)
             if not await self._state_writer.flush(FLUSH_TIMEOUT_S):
                 continue
-            await self._order(book, machines[name])
-        if book.complete(machines) and await self._state_writer.flush(FLUSH_TIMEOUT_S):
+            await self._order(wave_state, machines[name])
+        if wave_state.complete(machines) and await self._state_writer.flush(
+            FLUSH_TIMEOUT_S
+        ):
             self._state_writer.put(self._encode_status(wave.number, True))
             self._done.add(wave.number)
             log(events.WAVE_DONE, wave=wave.number)
 
-    async def _order(self, book: WaveState, machine: Machine) -> None:
+    async def _order(self, wave_state: WaveState, machine: Machine) -> None:
         if not self._state_writer.lease_is_fresh:
             return
         outcome = await self._calls.begin_upkeep(
-            machine.name, book.wave.number, token=self._token
+            machine.name, wave_state.wave.number, token=self._token
         )
         now = time.monotonic()
         log(
             events.UPKEEP_ORDERED,
-            wave=book.wave.number,
+            wave=wave_state.wave.number,
             machine=machine.name,
             worker=machine.worker,
             outcome=str(outcome),
         )
         if outcome is UpkeepOutcome.FENCED:
             raise WorkerFenced(machine.name)
-        ended = book.ordered.get(machine.name)
-        book.apply_outcome(machine.name, outcome, now)
+        ended = wave_state.ordered.get(machine.name)
+        wave_state.apply_outcome(machine.name, outcome, now)
         if outcome is UpkeepOutcome.BUSY:
-            self._state_writer.put(book.record_write)
+            self._state_writer.put(wave_state.record_write)
         if outcome is UpkeepOutcome.BEGUN and ended:
             self._planner.worker_gone(ended, now=now, unix_s=time.time())
             self._on_change()
@@ -319,8 +321,8 @@
         """Cordon the workers on draining machines."""
         self._planner.cordoned = frozenset(
             machines[name].worker
-            for book in self._wave_states.values()
-            for name in book.draining
+            for wave_state in self._wave_states.values()
+            for name in wave_state.draining
             if name in machines
         )
 
--- a/libs/planner/src/bilberryhitch_planner/worker_calls.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_calls.py
@@ -1,4 +1,4 @@
-"""The calls to workers that a planner makes."""
+"""Interface of the planner's calls to workers."""
 
 from typing import Protocol
 
@@ -14,7 +14,10 @@
 
 
 class WorkerCalls(Protocol):
-    """Calls to one worker at a time; times are in seconds."""
+    """Calls to workers.
+
+    ``token`` is the fencing token of the planner. Times are in seconds.
+    """
 
     async def start_run(
         self,
@@ -24,17 +27,20 @@
         token: int,
         lease_until_s: float,
     ) -> StartOutcome:
-        """Start a run under a lease that ends on the worker's clock."""
+        """Start a run under a lease.
+
+        :param lease_until_s: end of the lease on the worker's clock
+        """
 
     async def stop_run(
         self, worker: WorkerEntry, order: StopOrder, *, token: int
     ) -> StopOutcome:
-        """Stop a run and bar its number."""
+        """Stop a run and reject later starts of its run number."""
 
     async def throttle_run(
         self, worker: WorkerEntry, order: ThrottleOrder, *, token: int
     ) -> bool:
-        """Set a run's pace and return whether the worker took the order."""
+        """Limit the CPU time of a run; return whether the worker accepted the order."""
 
     async def hold(
         self,
@@ -45,9 +51,13 @@
         lease_until_s: float | None,
         wait_s: float,
     ) -> HeartbeatReply:
-        """Extend the lease, acknowledge ends and wait for another one.
+        """Send a heartbeat: renew the lease, acknowledge ended runs and list all runs.
 
+        :param acknowledged: highest sequence number of the ended runs that are stored
+        :param lease_until_s: new end of the lease on the worker's clock; None leaves
+            the lease unchanged
+        :param wait_s: how long the worker waits for a run to end before it replies
         :raises WorkerFenced: if a later planner has called the worker
         :raises WorkerGone: if the incarnation has ended
-        :raises WorkerUnreachable: if there was no usable answer
+        :raises WorkerUnreachable: if there was no usable response
         """
--- a/libs/planner/src/bilberryhitch_planner/workers.py
+++ b/libs/planner/src/bilberryhitch_planner/workers.py
@@ -1,35 +1,44 @@
-"""The planner's books on one worker: capacity, runs, clock and lease."""
+"""State of one worker: capacity, runs, clock offset and lease."""
 
 from bilberryhitch_jobs import TaskName
 
 from .reports import WorkerEntry
 from .runs import Run
 
-# A worker's clock may be this much slower than the planner's.
+# A worker's clock may run slower than the planner's by this fraction.
 CLOCK_DRIFT = 0.02
-# Covers timer granularity on both sides.
+# Covers the timer granularity on both sides.
 LEASE_SLACK_S = 0.3
-# A look takes up to 0.6 s; a worker that misses two gets nothing new.
+# A heartbeat takes up to 0.6 s; a worker that misses two gets no new runs.
 MAX_SILENCE_S = 1.3
-# Failures in a row, of different runs, after which a worker gets nothing.
+# Consecutive failed runs after which a worker is quarantined.
 QUARANTINE_FAILURES = 2
-# Disturbances that make a worker fail its runs last several seconds.
+# A worker is avoided for this long after a failed run, as disturbances last several
+# seconds.
 SUSPECT_S = 4.0
-# First pause of a failing worker; doubled with each failure after it.
+# First quarantine of a failing worker; doubled with each further failure.
 QUARANTINE_S = 2.0
 QUARANTINE_MAX_S = 8.0
-# An unhealthy worker's refusal lasts seconds rather than milliseconds.
+# A worker that refuses a start is unhealthy for seconds rather than milliseconds.
 REFUSAL_PAUSE_S = 0.5
 
 
 class Worker:
-    """One incarnation of a worker.
+    """One incarnation of a worker. All times are monotonic, in seconds.
 
+    :ivar entry: its registration
+    :ivar registered: whether its registration still exists
     :ivar synced: it has listed its runs to this planner
-    :ivar listed: it is registered
-    :ivar discovered_at: steady time at which this planner heard of it
-    :ivar speed: relative to the other workers, as far as it is known
-    :ivar lease_until: steady time after which nothing can run there
+    :ivar runs: runs that may exist, by task and run number
+    :ivar free: unallocated capacity
+    :ivar lease_until: time after which nothing can run there
+    :ivar answered_at: time of the last heartbeat reply
+    :ivar discovered_at: time at which this planner learned of it
+    :ivar paused_until: time until which it gets no new runs
+    :ivar last_end_sequence: sequence number of the last applied ended run
+    :ivar speed: estimated speed, 1.0 for an average worker
+    :ivar born_ms: Unix time of its start in ms; 0 if unknown
+    :ivar failures: consecutive failed runs
     """
 
     def __init__(self, entry: WorkerEntry, now: float) -> None:
@@ -50,7 +59,7 @@
         self._clock_offset = 0.0
 
     def usable(self, now: float) -> bool:
-        """Return whether it may get new runs."""
+        """Return whether the worker may get new runs."""
         return (
             self.registered
             and self.synced
@@ -60,41 +69,41 @@
         )
 
     def suspect(self, now: float) -> bool:
-        """Return whether its last run failed a short time ago."""
+        """Return whether a run failed on the worker a short time ago."""
         return self.failures > 0 and now - self.failed_at < SUSPECT_S
 
     def update_entry(self, entry: WorkerEntry) -> None:
-        """Take over a changed registration; capacity may change with it."""
+        """Apply a changed registration, whose capacity may differ."""
         used = self.entry.capacity.minus(self.free)
         self.entry = entry
         self.free = entry.capacity.minus(used)
 
     def add_run(self, run: Run) -> None:
-        """Book a run and its room."""
+        """Add a run and allocate its resources."""
         self.runs[run.task, run.number] = run
         self.free = self.free.minus(run.demand)
 
     def drop_run(self, run: Run) -> None:
-        """Release a run that is certain to be gone."""
+        """Remove a run that has certainly ended and free its resources."""
         if self.runs.pop((run.task, run.number), None) is not None:
             self.free = self.free.plus(run.demand)
 
     def set_clock(self, clock_s: float, now: float) -> None:
-        """Take the worker's clock from an answer that has just arrived."""
+        """Update the clock offset from a reply that has just arrived."""
         self._clock_offset = clock_s - now
         self.answered_at = now
 
     def lease_deadline(self, until: float, now: float) -> float:
-        """Return a lease's end on the worker's clock and note when it lapses here.
+        """Return a lease's end on the worker's clock and record when it has expired.
 
-        :param until: the end wanted, on this process's steady clock
+        :param until: end of the lease on this process's monotonic clock
         """
         slow = (until - now) * CLOCK_DRIFT + (now - self.answered_at) * CLOCK_DRIFT
         self.lease_until = max(self.lease_until, until + slow + LEASE_SLACK_S)
         return until + self._clock_offset
 
     def note_failure(self, now: float) -> None:
-        """Pause the worker if several runs in a row failed on it."""
+        """Count a failed run; quarantine the worker after several in a row."""
         self.failures += 1
         self.failed_at = now
         over = self.failures - QUARANTINE_FAILURES
@@ -103,9 +112,9 @@
             self.paused_until = max(self.paused_until, now + pause)
 
     def note_success(self) -> None:
-        """Trust the worker again."""
+        """Reset the failure count."""
         self.failures = 0
 
     def note_refusal(self, now: float) -> None:
-        """Give an unhealthy worker a short pause."""
+        """Pause the worker for a short time after it refused a start."""
         self.paused_until = max(self.paused_until, now + REFUSAL_PAUSE_S)
