--- a/libs/planner/src/bilberryhitch_planner/leading_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/leading_planner.py
@@ -130,15 +130,15 @@
         async with asyncio.TaskGroup() as group:
             self._group = group
             group.create_task(self.state_writer.run())
-            await self._inherit()
+            await self._load_inherited_state()
             group.create_task(self._jobs.run())
             group.create_task(self._worker_rows.run())
             group.create_task(self._plan())
             group.create_task(self.state_writer.remove_expired())
             group.create_task(self._upkeep.run())
-            group.create_task(self._look_for_gone())
+            group.create_task(self._check_silent_workers())
 
-    async def _inherit(self) -> None:
+    async def _load_inherited_state(self) -> None:
         """Load the state stored by earlier planners; retry until the store answers."""
         while True:
             try:
@@ -167,18 +167,18 @@
                 session = self._sessions.get(order.worker)
                 if session is not None:
                     self._spawn(session.send(order))
-            questions, self.planner.advice_requests = self.planner.advice_requests, []
-            for question in questions:
-                self._spawn(self._ask(question))
+            requests, self.planner.advice_requests = self.planner.advice_requests, []
+            for request in requests:
+                self._spawn(self._request_advice(request))
             self.state_writer.notify()
             self._check_isolation(now)
 
-    async def _ask(self, question: AdviceRequest) -> None:
-        advice = await self._advise(question)
-        self.planner.apply_advice(question, advice, now=time.monotonic())
+    async def _request_advice(self, request: AdviceRequest) -> None:
+        advice = await self._advise(request)
+        self.planner.apply_advice(request, advice, now=time.monotonic())
         self._changed()
 
-    async def _look_for_gone(self) -> None:
+    async def _check_silent_workers(self) -> None:
         """Look up unresponsive workers in the list of machines.
 
         A worker whose machine is no longer up has ended, so its tasks can be
@@ -311,10 +311,10 @@
                 self._changed,
             )
             self._sessions[entry.worker] = session
-            self._spawn(self._attend(entry.worker, session))
+            self._spawn(self._run_session(entry.worker, session))
         self._changed()
 
-    async def _attend(self, name: str, session: WorkerSession) -> None:
+    async def _run_session(self, name: str, session: WorkerSession) -> None:
         try:
             await session.run()
         finally:
--- a/libs/planner/src/bilberryhitch_planner/scheduling_round.py
+++ b/libs/planner/src/bilberryhitch_planner/scheduling_round.py
@@ -62,10 +62,10 @@
         }
 
     def place_step(self, step: StepOccurrence) -> None:
-        """Start the waiting units of a step that fit.
+        """Start the waiting units of a step that fit; preempt other work if allowed.
 
-        For the first unit that does not fit, capacity is freed by preemption or
-        workers are reserved; the units after it wait.
+        Placement ends with the first unit that neither fits nor may preempt other
+        work. If that is a gang, workers are reserved for it.
         """
         now = self._now
         all_workers = self._usable.get(step.job.queue.service, [])
@@ -74,9 +74,9 @@
         ]
         permissions = self._state.permissions_of(step)
         if permissions is not None:
-            question = permissions.next_request(step, workers, now)
-            if question is not None:
-                self.advice_requests.append(question)
+            request = permissions.next_request(step, workers, now)
+            if request is not None:
+                self.advice_requests.append(request)
             workers = [
                 each
                 for each in workers
