--- a/libs/membership/src/bilberryhitch_membership/__init__.py
+++ b/libs/membership/src/bilberryhitch_membership/__init__.py
@@ -1,4 +1,4 @@
-"""Live and leaving hosts: heartbeats, host list and drains."""
+"""Membership of hosts: liveness, draining, heartbeats and the host list."""
 
 from .drains import DrainAudit, DrainRecord, DrainRow
 from .membership import Membership
--- a/libs/membership/src/bilberryhitch_membership/boot_rows.py
+++ b/libs/membership/src/bilberryhitch_membership/boot_rows.py
@@ -1,8 +1,8 @@
-"""Rows ``drains/<host>/boots``: boots that the platform's list called leaving.
+"""Rows ``drains/<host>/boots``: boots that the host list showed as leaving.
 
-A process that is cut off from its peers and whose copy of the host list lags
-can then still learn of them from the store. There is at most one row for each
-host; it is deleted once the host is live with a newer boot.
+From these rows a process still learns about leaving boots when it is partitioned from
+its peers and its host list lags. Each host has at most one row, which is deleted once
+the host is live with a newer boot.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,13 +12,13 @@
 from bilberryhitch_platform import Delete, Expect, Put, Row, TableService, commit
 from msgspec import DecodeError, json
 
-from .drains import DRAINS
+from .drains import DRAIN_PREFIX
 
-BOOTS = "/boots"
+BOOTS_SUFFIX = "/boots"
 
 
 class BootRows:
-    """The rows as this process last read them, and what it has to write."""
+    """Cache of the rows in the store, and the hosts whose row must be written."""
 
     def __init__(self, tables: TableService, new_id: Callable[[], str]) -> None:
         self._tables = tables
@@ -28,14 +28,14 @@
 
     @property
     def hosts(self) -> list[str]:
-        """Hosts whose row was read and not seen deleted."""
+        """Hosts that have a row in the cache."""
         return list(self._rows)
 
-    def read(self, row: Row) -> list[DrainNotice]:
-        """Note a row and return what it says; nothing for other rows."""
-        if not row.key.endswith(BOOTS):
+    def load(self, row: Row) -> list[DrainNotice]:
+        """Cache a row and return its notices; ignores rows of other kinds."""
+        if not row.key.endswith(BOOTS_SUFFIX):
             return []
-        host = row.key.removeprefix(DRAINS).removesuffix(BOOTS)
+        host = row.key.removeprefix(DRAIN_PREFIX).removesuffix(BOOTS_SUFFIX)
         try:
             boots = tuple(json.decode(row.value, type=list[str]))
         except DecodeError:
@@ -44,22 +44,22 @@
             self._rows[host] = (row.revision, boots)
         return [DrainNotice(host, True, 0, boot_id=boot) for boot in boots]
 
-    def must_save(self, host: str) -> None:
-        """Note that this process learned from the list that a host leaves."""
+    def mark_unsaved(self, host: str) -> None:
+        """Mark the row of a host for writing: the list showed a leaving boot."""
         self._unsaved.add(host)
 
-    async def save(self, marks: Callable[[str], tuple[str, ...]]) -> None:
-        """Write what is unsaved; what fails is tried again at the next call.
+    async def save(self, leaving_boots: Callable[[str], tuple[str, ...]]) -> None:
+        """Write the rows marked as unsaved; failed writes are retried by the next call.
 
-        :param marks: leaving boots of a host as this process knows them
+        :param leaving_boots: returns the leaving boots of a host
         """
         for host in sorted(self._unsaved):
             revision, stored = self._rows.get(host, (0, ()))
-            boots = tuple(sorted({*stored, *marks(host)}))
-            if not marks(host) or boots == stored:
+            boots = tuple(sorted({*stored, *leaving_boots(host)}))
+            if not leaving_boots(host) or boots == stored:
                 self._unsaved.discard(host)
                 continue
-            put = Put(DRAINS + host + BOOTS, json.encode(boots))
+            put = Put(DRAIN_PREFIX + host + BOOTS_SUFFIX, json.encode(boots))
             written = await self._commit(host, revision, put)
             if written:
                 if written > self._rows.get(host, (0, ()))[0]:
@@ -69,16 +69,21 @@
     async def delete(self, hosts: Iterable[str]) -> None:
         """Delete the rows of hosts that are live with a newer boot."""
         for host in hosts:
-            # Calls overlap, so another may have deleted the row meanwhile.
+            # A concurrent call may have deleted the row.
             if host not in self._rows:
                 continue
             revision, _ = self._rows[host]
-            if await self._commit(host, revision, Delete(DRAINS + host + BOOTS)):
-                self._drop(host, revision)
+            if await self._commit(
+                host, revision, Delete(DRAIN_PREFIX + host + BOOTS_SUFFIX)
+            ):
+                self._remove_cached(host, revision)
 
     async def _commit(self, host: str, revision: int, write: Put | Delete) -> int:
-        """Write if the row is as last read; returns 0 when it was not written."""
-        expect = Expect(DRAINS + host + BOOTS, revision)
+        """Write a row if its revision is unchanged.
+
+        :returns: the revision of the commit, or 0 if the row was not written
+        """
+        expect = Expect(DRAIN_PREFIX + host + BOOTS_SUFFIX, revision)
         try:
             result = await commit(self._tables, [expect], [write], self._new_id())
         except StoreError:
@@ -86,10 +91,10 @@
         if result.is_ok():
             return result.ok
         if result.error.key == expect.key and result.error.found_revision == 0:
-            self._drop(host, revision)
+            self._remove_cached(host, revision)
         return 0
 
-    def _drop(self, host: str, revision: int) -> None:
-        """Forget a deleted row, unless a later one was read meanwhile."""
+    def _remove_cached(self, host: str, revision: int) -> None:
+        """Remove a deleted row from the cache unless a newer revision was loaded."""
         if self._rows.get(host, (0, ()))[0] == revision:
             self._rows.pop(host, None)
--- a/libs/membership/src/bilberryhitch_membership/drains.py
+++ b/libs/membership/src/bilberryhitch_membership/drains.py
@@ -1,4 +1,4 @@
-"""Drain rows: written by operators, the higher store revision wins."""
+"""Drain rows, written for operators; the highest store revision wins."""
 
 import re
 from collections.abc import Callable
@@ -11,9 +11,9 @@
 from expression import Error, Ok, Result
 from msgspec import DecodeError, json
 
-DRAINS = "drains/"
-AUDIT = "audit/"
-NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
+DRAIN_PREFIX = "drains/"
+AUDIT_PREFIX = "audit/"
+HOST_NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
 
 
 class DrainRow(NamedTuple):
@@ -26,7 +26,7 @@
 
 
 class DrainRecord(NamedTuple):
-    """A drain or its undoing.
+    """A drain or undrain that was committed.
 
     :param at: UTC seconds
     :param revision: store revision of the row
@@ -40,7 +40,7 @@
 
 
 class DrainAudit(NamedTuple):
-    """Audit row of a drain or its undoing."""
+    """Audit row of a drain or undrain; ``at`` is UTC seconds."""
 
     at: float
     operation_id: str
@@ -50,15 +50,15 @@
 
 
 class Drains:
-    """Drains as this process knows them."""
+    """The latest drain notice of each host known to this process."""
 
     def __init__(self) -> None:
         self._notices: dict[str, DrainNotice] = {}
 
     def learn(self, notice: DrainNotice) -> bool:
-        """Take a notice unless a higher revision is known.
+        """Store a notice unless its revision or a higher one is known.
 
-        :returns: whether it was new
+        :returns: whether the notice was new
         """
         known = self._notices.get(notice.host)
         if known is not None and known.store_revision >= notice.store_revision:
@@ -67,12 +67,12 @@
         return True
 
     def is_leaving(self, host: str) -> bool:
-        """Whether the last known drain of the host holds."""
+        """Whether the latest known notice of the host is a drain."""
         notice = self._notices.get(host)
         return notice is not None and notice.leaving
 
     def since(self, revision: int) -> list[DrainNotice]:
-        """Return what was written after a store revision."""
+        """Return the notices with a store revision above the given one."""
         return [
             notice
             for notice in self._notices.values()
@@ -80,23 +80,23 @@
         ]
 
 
-async def read_rows(tables: TableService, since: int) -> tuple[list[Row], int]:
-    """Read the rows under ``drains/`` written after a store revision.
+async def read_drain_rows(tables: TableService, since: int) -> tuple[list[Row], int]:
+    """Read the rows under ``drains/`` with a revision above the given one.
 
-    :returns: the rows, and the revision up to which they are complete
+    :returns: the rows, and the store revision up to which they are complete
     """
-    page = await tables.scan(DRAINS, since)
+    page = await tables.scan(DRAIN_PREFIX, since)
     complete_to = page.revision
     rows = list(page.rows)
     while page.more:
-        page = await tables.scan(DRAINS, since, page.rows[-1].key)
+        page = await tables.scan(DRAIN_PREFIX, since, page.rows[-1].key)
         rows += page.rows
     return rows, complete_to
 
 
-def drains_of(row: Row) -> list[DrainNotice]:
-    """Return the notice a drain row stands for; nothing for other rows."""
-    host = row.key.removeprefix(DRAINS)
+def drain_notices(row: Row) -> list[DrainNotice]:
+    """Return the notice of a drain row in a list; empty for rows of other kinds."""
+    host = row.key.removeprefix(DRAIN_PREFIX)
     try:
         drain = from_plain(DrainRow, json.decode(row.value))
     except (BadInput, DecodeError):
@@ -111,18 +111,19 @@
     drain: DrainRow,
     new_id: Callable[[], str],
 ) -> Result[DrainRecord, StoreError]:
-    """Write a drain row and its audit row.
+    """Write a drain row and its audit row in one commit.
 
-    :raises BadInput: the host's name breaks the rule for names
+    :returns: the committed drain, or why the store did not confirm it
+    :raises BadInput: the host name is not valid
     """
-    if NAME.fullmatch(drain.host) is None:
-        raise BadInput("host", drain.host, NAME.pattern)
+    if HOST_NAME_PATTERN.fullmatch(drain.host) is None:
+        raise BadInput("host", drain.host, HOST_NAME_PATTERN.pattern)
     operation_id = new_id()
     action: Literal["drain", "undrain"] = "drain" if drain.leaving else "undrain"
     audit = DrainAudit(drain.at, operation_id, drain.operator, action, drain.host)
     writes: list[Write] = [
-        Put(DRAINS + drain.host, encode(drain)),
-        Put(f"{AUDIT}{drain.at:017.6f}-{operation_id}", encode(audit)),
+        Put(DRAIN_PREFIX + drain.host, encode(drain)),
+        Put(f"{AUDIT_PREFIX}{drain.at:017.6f}-{operation_id}", encode(audit)),
     ]
     try:
         result = await commit(tables, [], writes, operation_id)
--- a/libs/membership/src/bilberryhitch_membership/membership.py
+++ b/libs/membership/src/bilberryhitch_membership/membership.py
@@ -1,4 +1,4 @@
-"""Live and leaving hosts, as this process knows them."""
+"""This process's view of the live and leaving hosts."""
 
 import asyncio
 from collections import defaultdict
@@ -17,36 +17,37 @@
 from expression import Result
 
 from .boot_rows import BootRows
-from .drains import DrainRecord, DrainRow, drains_of, read_rows, write_drain
+from .drains import DrainRecord, DrainRow, drain_notices, read_drain_rows, write_drain
 from .entry_hosts import EntryHosts
-from .leaving import Leaving
+from .leaving_hosts import LeavingHosts
 from .polling import Poller
 from .rendezvous import owner
 from .vitals import Vitals
 
-HEARTBEAT_S = 0.5
-DRAIN_POLL_S = 1.0
-HOST_LIST_POLL_S = 2.0
-GREETING_S = 3.0  # a fresh process sends heartbeats to everybody for this long
-HOST_LIST_LAG_S = 60.0
-FORGET_S = 3600.0
-FORGET_POLL_S = 60.0
-CATCH_UP_NOTICES = 64  # most notices sent to one peer for one of its heartbeats
+HEARTBEAT_INTERVAL_S = 0.5
+DRAIN_POLL_INTERVAL_S = 1.0
+HOST_LIST_POLL_INTERVAL_S = 2.0
+STARTUP_BROADCAST_S = 3.0  # after its start a process sends heartbeats to every peer
+MAX_HOST_LIST_LAG_S = 60.0
+HOST_RETENTION_S = 3600.0
+EXPIRY_INTERVAL_S = 60.0
+MAX_CATCH_UP_NOTICES = 64  # notices sent in response to one heartbeat
 
 
 class Membership:
-    """Hosts by heartbeat, host list and drains; a hint, never a promise.
+    """View of all hosts from heartbeats, the host list and drains; it may be stale.
 
-    What a process learns about a leaving host is sent to every peer at once,
-    and passed on once by each that learns it from a peer. Heartbeats carry a
-    digest of what the sender knows; a peer that knows more sends it the rest.
+    A process that learns about a leaving host broadcasts this immediately, and each
+    peer that learns it from a message broadcasts it once more. Heartbeats carry a
+    digest of what the sender knows; a peer that knows more sends the missing notices.
 
-    :param now: UTC seconds, for operators' records only
+    :param now: returns the time in UTC seconds, used only in drain and audit rows
+    :param new_id: returns a unique id
     :param broadcast: sends a message to every peer
     :param send: sends a message to one peer; without it heartbeats are broadcast
-    :param peers: entry hosts of the settings
-    :param host_list_lag_s: longest lag of the host list that is allowed for
-    :param vitals: contents of the heartbeats that other services provide
+    :param peers: entry hosts named in the settings
+    :param vitals: returns the heartbeat fields provided by other services
+    :param host_list_lag_s: maximum lag of the host list that is tolerated
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         send: Callable[[str, Message], bool] | None = None,
         peers: Sequence[PeerAddress] = (),
         vitals: Callable[[], Vitals] = Vitals,
-        host_list_lag_s: float = HOST_LIST_LAG_S,
+        host_list_lag_s: float = MAX_HOST_LIST_LAG_S,
     ) -> None:
         self._identity = identity
         self._tables = tables
@@ -75,23 +76,23 @@
         self._started_s = 0.0
         self._entry = EntryHosts(identity, self._peers, self._started_s)
         self._listed: dict[str, Host] = {}
-        self._listed_s = 0.0
-        self._list_poll = 0
-        self._list_applied = 0
-        self._leaving = Leaving(identity, host_list_lag_s)
+        self._list_applied_s = 0.0
+        self._last_list_poll = 0
+        self._applied_list_poll = 0
+        self._leaving = LeavingHosts(identity, host_list_lag_s)
         self._boot_rows = BootRows(tables, new_id)
-        self._cursors: defaultdict[str, int] = defaultdict(int)
-        self._boot_row_keeper = Poller(DRAIN_POLL_S, self._keep_boot_rows)
+        self._catch_up_offsets: defaultdict[str, int] = defaultdict(int)
+        self._boot_row_poller = Poller(DRAIN_POLL_INTERVAL_S, self._keep_boot_rows)
         self._pollers = (
-            Poller(DRAIN_POLL_S, self._poll_drains),
-            Poller(HOST_LIST_POLL_S, self._poll_host_list),
-            self._boot_row_keeper,
-            Poller(FORGET_POLL_S, self._forget_gone),
+            Poller(DRAIN_POLL_INTERVAL_S, self._poll_drains),
+            Poller(HOST_LIST_POLL_INTERVAL_S, self._poll_host_list),
+            self._boot_row_poller,
+            Poller(EXPIRY_INTERVAL_S, self._expire_hosts),
         )
         self._heartbeats: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start heartbeats and polls; does not wait for the first answers."""
+        """Start heartbeats and polls without waiting for the first answers."""
         self._started_s = self._time_s()
         self._entry = EntryHosts(self._identity, self._peers, self._started_s)
         for poller in self._pollers:
@@ -107,13 +108,13 @@
             await poller.close()
 
     def receive_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take a heartbeat of a peer."""
+        """Handle a heartbeat of a peer."""
         host = heartbeat.host
         if host == self._identity.host:
             return
         now_s = self._time_s()
-        if not self._leaving.observe_run(host, heartbeat.incarnation, now_s):
-            return  # late message of an earlier run
+        if not self._leaving.observe_process(host, heartbeat.incarnation, now_s):
+            return  # delayed message of an earlier incarnation
         self._entry.record_heartbeat(heartbeat, now_s)
         if heartbeat.leaving:
             notice = DrainNotice(host, True, 0, incarnation=heartbeat.incarnation)
@@ -121,27 +122,30 @@
         self._catch_up(heartbeat)
 
     def receive_drain_notice(self, notice: DrainNotice) -> None:
-        """Take a peer's notice that a host is leaving or its drain was undone."""
+        """Handle a peer's notice that a host is leaving or was undrained."""
         self._learn(notice)
 
     def answer_host_list(self) -> HostListReply | None:
-        """Return the host list for a peer, if this process has read it."""
-        if not self._list_applied:
+        """Return the host list for a peer.
+
+        :returns: the reply, or ``None`` if this process has not read the list yet
+        """
+        if not self._applied_list_poll:
             return None
         return HostListReply(list(self._listed.values()))
 
     def receive_host_list(self, reply: HostListReply) -> None:
-        """Take a peer's host list unless this process has read its own."""
-        if not self._list_applied:
+        """Apply a peer's host list unless this process has read one itself."""
+        if not self._applied_list_poll:
             self._apply_list(reply.hosts)
 
     def entry_hosts(self, data_centre: str) -> list[str]:
-        """Return live entry hosts that are not leaving, sorted by name."""
+        """Return the live entry hosts that are not leaving, sorted by name."""
         live = self._entry.live(data_centre, self._time_s())
         return [host for host in live if not self.is_leaving(host)]
 
     def endpoints(self, kind: str, data_centre: str) -> list[Host]:
-        """Return listed executors or workers that may get new work."""
+        """Return the listed executors or workers that may receive new work."""
         return [
             host
             for host in self._listed.values()
@@ -157,7 +161,7 @@
         return self._leaving.is_leaving(host, self._time_s())
 
     def hosts(self) -> list[Host]:
-        """Return every known host with the state this process gives it."""
+        """Return every known host with its state in this process's view."""
         unlisted = [
             Host(name, "entry", data_centre, "")
             for name, data_centre in self._entry.unlisted().items()
@@ -168,36 +172,37 @@
         ]
 
     async def drain(self, host: str, operator: str) -> Result[DrainRecord, StoreError]:
-        """Keep new work from a host until :meth:`undrain`.
-
-        ``StoreAnswerLost`` means that the drain may have been recorded.
+        """Drain a host: it receives no new work until :meth:`undrain`.
 
-        :raises BadInput: the name breaks the rule for names
+        :param operator: name of the operator, for the drain and audit rows
+        :returns: the committed drain, or the store's error; after a
+            ``StoreAnswerLost`` the drain may have been committed
+        :raises BadInput: the host name is not valid
         """
         return await self._write_drain(host, True, operator)
 
     async def undrain(
         self, host: str, operator: str
     ) -> Result[DrainRecord, StoreError]:
-        """Undo a drain.
+        """Undo the drain of a host; see :meth:`drain`.
 
-        :raises BadInput: the name breaks the rule for names
+        :raises BadInput: the host name is not valid
         """
         return await self._write_drain(host, False, operator)
 
     def leave(self) -> None:
         """Announce that this process is leaving."""
-        me = self._identity
-        self._learn(DrainNotice(me.host, True, 0, incarnation=me.incarnation))
+        own = self._identity
+        self._learn(DrainNotice(own.host, True, 0, incarnation=own.incarnation))
         self.fan_out(self._heartbeat())
 
     def fan_out(self, message: Message) -> None:
-        """Send a message to whoever gets this process's heartbeats."""
+        """Send a message to the targets of this process's heartbeats."""
         now_s = self._time_s()
-        if self._send is None or now_s - self._started_s < GREETING_S:
+        if self._send is None or now_s - self._started_s < STARTUP_BROADCAST_S:
             self._broadcast(message)
             return
-        for host in self._entry.fan_out(now_s):
+        for host in self._entry.heartbeat_targets(now_s):
             self._send(host, message)
 
     async def _write_drain(
@@ -210,36 +215,36 @@
         return result
 
     def _learn(self, notice: DrainNotice) -> bool:
-        """Take what a notice says and pass it on if it is new."""
+        """Apply a notice and broadcast it if it is new."""
         news = self._leaving.learn(notice, self._time_s())
         if news:
             self._broadcast(notice)
         return news
 
     def _catch_up(self, heartbeat: Heartbeat) -> None:
-        """Send a peer what its heartbeat shows it does not know."""
-        missing = self._leaving.missing_at(heartbeat, self._time_s())
+        """Send a peer the notices that are missing according to its heartbeat."""
+        missing = self._leaving.notices_missing_at(heartbeat, self._time_s())
         if not missing or self._send is None:
             return
-        # Successive heartbeats get successive parts of a long list.
-        first = self._cursors[heartbeat.host] % len(missing)
-        self._cursors[heartbeat.host] = first + CATCH_UP_NOTICES
-        for notice in (missing[first:] + missing[:first])[:CATCH_UP_NOTICES]:
+        # A long list is sent in parts, one in response to each heartbeat.
+        first = self._catch_up_offsets[heartbeat.host] % len(missing)
+        self._catch_up_offsets[heartbeat.host] = first + MAX_CATCH_UP_NOTICES
+        for notice in (missing[first:] + missing[:first])[:MAX_CATCH_UP_NOTICES]:
             self._send(heartbeat.host, notice)
 
     async def _send_heartbeats(self) -> None:
         while True:
             self.fan_out(self._heartbeat())
-            await asyncio.sleep(HEARTBEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     def _heartbeat(self) -> Heartbeat:
-        me = self._identity
+        own = self._identity
         vitals = self._vitals()
-        leaving = self._leaving.run_is_leaving(me.host, self._time_s())
+        leaving = self._leaving.process_is_leaving(own.host, self._time_s())
         return Heartbeat(
-            me.host,
-            me.data_centre,
-            me.incarnation,
+            own.host,
+            own.data_centre,
+            own.incarnation,
             leaving,
             vitals.config_revision,
             dict(vitals.usage),
@@ -250,73 +255,76 @@
 
     async def _poll_drains(self) -> None:
         since = self._leaving.drains_revision
-        rows, complete_to = await read_rows(self._tables, since)
+        rows, complete_to = await read_drain_rows(self._tables, since)
         for row in rows:
-            for notice in (*drains_of(row), *self._boot_rows.read(row)):
+            for notice in (*drain_notices(row), *self._boot_rows.load(row)):
                 self._learn(notice)
         self._leaving.drains_revision = max(self._leaving.drains_revision, complete_to)
 
-    async def _forget_gone(self) -> None:
-        before_s = self._time_s() - FORGET_S
-        self._entry.forget(before_s)
-        self._leaving.forget(before_s, self._listed)
+    async def _expire_hosts(self) -> None:
+        before_s = self._time_s() - HOST_RETENTION_S
+        self._entry.expire(before_s)
+        self._leaving.expire(before_s, self._listed)
 
     async def _poll_host_list(self) -> None:
-        self._list_poll += 1
-        number = self._list_poll
+        self._last_list_poll += 1
+        number = self._last_list_poll
         try:
             hosts = await self._host_list.list_hosts()
         except StoreError:
             self._ask_host_list()
             raise
-        if number < self._list_applied:
-            return  # an answer to a later poll overtook this one
-        self._list_applied = number
+        if number < self._applied_list_poll:
+            return  # the answer to a later poll was applied before this one
+        self._applied_list_poll = number
         self._apply_list(hosts)
 
     def _ask_host_list(self) -> None:
-        """Ask peers while the platform's own list was never read.
+        """Ask peers for the host list if it was never read from the platform.
 
-        A fresh process that owns executors by its rank must know them, also
-        while the platform cannot be reached.
+        A restarted process needs the list to know which executors it owns, even if the
+        platform is unreachable.
         """
-        if not self._list_applied:
+        if not self._applied_list_poll:
             self._broadcast(HostListAsk())
 
     def _apply_list(self, hosts: Sequence[Host]) -> None:
         before, self._listed = self._listed, {host.name: host for host in hosts}
         self._entry.set_listed(hosts)
         for host in hosts:
-            # Most of the rows are as before; with thousands of them, looking
-            # closer at each was most of what control cost in processor time.
+            # Most rows are unchanged. With thousands of hosts, processing all of them
+            # took most of the CPU time of the control plane.
             row_before = before.get(host.name)
             if row_before == host and host.state == "live":
                 continue
             if row_before is not None:
-                self._leaving.observe_boot(row_before, self._listed_s)
+                self._leaving.observe_boot(row_before, self._list_applied_s)
             self._leaving.observe_boot(host, self._time_s())
             if host.state == "live":
                 continue
             if self._learn(DrainNotice(host.name, True, 0, boot_id=host.boot_id)):
-                self._boot_rows.must_save(host.name)
-                self._boot_row_keeper.poll_now()
-        self._listed_s = self._time_s()
+                self._boot_rows.mark_unsaved(host.name)
+                self._boot_row_poller.poll_now()
+        self._list_applied_s = self._time_s()
 
     async def _keep_boot_rows(self) -> None:
-        """Save what this process learned from the list; delete what is over."""
-        await self._boot_rows.save(self._boot_marks)
+        """Write rows for newly leaving boots; delete rows that are obsolete."""
+        await self._boot_rows.save(self._leaving_boots)
         stored = self._boot_rows.hosts
-        await self._boot_rows.delete(filter(self._is_reopened, stored))
+        await self._boot_rows.delete(filter(self._should_delete_boot_row, stored))
 
-    def _is_reopened(self, host: str) -> bool:
-        """Whether this process deletes the row of a host with a newer boot."""
-        if host not in self._listed or self._boot_marks(host):
+    def _should_delete_boot_row(self, host: str) -> bool:
+        """Whether the row of a host is obsolete and this process must delete it.
+
+        A row is obsolete once the host is live with a newer boot.
+        """
+        if host not in self._listed or self._leaving_boots(host):
             return False
-        me = self._identity
-        return owner(host, self.entry_hosts(me.data_centre) or [me.host]) == me.host
+        own = self._identity
+        return owner(host, self.entry_hosts(own.data_centre) or [own.host]) == own.host
 
-    def _boot_marks(self, host: str) -> tuple[str, ...]:
-        return self._leaving.boot_marks(host, self._time_s())
+    def _leaving_boots(self, host: str) -> tuple[str, ...]:
+        return self._leaving.leaving_boots(host, self._time_s())
 
     def _time_s(self) -> float:
         return asyncio.get_running_loop().time()
--- a/libs/membership/src/bilberryhitch_membership/polling.py
+++ b/libs/membership/src/bilberryhitch_membership/polling.py
@@ -1,4 +1,4 @@
-"""Polling that a slow answer does not hold up."""
+"""Periodic polling that a slow answer does not delay."""
 
 import asyncio
 import contextlib
@@ -10,12 +10,13 @@
 
 
 class Poller:
-    """Starts a poll at every interval, even while earlier ones are waiting.
+    """Starts a poll at every interval, even while earlier ones are in progress.
 
-    Polls in sequence would stay blind for as long as the slowest answer after
-    the store has recovered. The time-out bounds how many run at once.
+    If each poll waited for the one before, a recovered store would not be read until
+    the slowest answer had come. The timeout bounds the number of concurrent polls.
 
-    :param poll: one poll; its :class:`StoreError` is ignored
+    :param interval_s: time between the starts of two polls
+    :param poll: makes one poll; a :class:`StoreError` that it raises is ignored
     """
 
     def __init__(self, interval_s: float, poll: Callable[[], Awaitable[None]]) -> None:
@@ -25,18 +26,18 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Poll now and then at every interval."""
+        """Start polling; the first poll starts immediately."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop, ending the polls under way."""
+        """Stop polling and cancel the polls in progress."""
         tasks = [task for task in (self._task, *self._polls) if task]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def poll_now(self) -> None:
-        """Start one poll besides the regular ones."""
+        """Start an additional poll immediately."""
         task = asyncio.create_task(self._poll_once())
         self._polls.add(task)
         task.add_done_callback(self._polls.discard)
--- a/libs/membership/src/bilberryhitch_membership/run_ledger.py
+++ b/libs/membership/src/bilberryhitch_membership/run_ledger.py
@@ -1,78 +1,82 @@
-"""Which runs of one host are known to be leaving."""
+"""Incarnations of one host, and which of them are leaving."""
 
-MAX_RUNS = 16
+MAX_INCARNATIONS = 16
 
 
 class RunLedger:
-    """Runs of a host: boots, or incarnations of its process.
+    """Incarnations of a host: its boots, or the processes of its entry host.
 
-    Run ids have no order of their own, and sources lag: an older run may be
-    shown after a newer one. A run never shown before is taken for the newest,
-    and a known one only once the newest was not shown for ``silence_s``.
+    The ids of incarnations have no order, and a source that lags may show an older
+    incarnation after a newer one. Therefore an incarnation that was never observed is
+    considered the newest. One that was observed earlier becomes the newest again only
+    if the newest has not been observed for ``silence_s``.
 
-    :param silence_s: longest time for which a source may show an older run
-    :param hold_s: longest lag of the source, or 0 when it does not lag. For this
-        long after a run never shown here was closed, the newest run shown counts
-        as leaving too, because it may be the older of the two. So it does while
-        the source was not watched for long enough to know the order of runs
+    :param silence_s: maximum time for which a source may show an older incarnation
+    :param source_lag_s: maximum lag of the source, or 0 if it does not lag. For this
+        time after an incarnation that was never observed is marked as leaving, the
+        newest observed one also counts as leaving, because it may be the older of the
+        two. It counts as leaving, too, if any incarnation is leaving and the source
+        has not been observed for long enough to know the order of incarnations
     """
 
-    def __init__(self, silence_s: float, hold_s: float = 0.0) -> None:
+    def __init__(self, silence_s: float, source_lag_s: float = 0.0) -> None:
         self._silence_s = silence_s
-        self._hold_s = hold_s
+        self._source_lag_s = source_lag_s
         self._seen: list[str] = []
-        self._first_s: float | None = None
-        self._shown_s = 0.0
-        self._closed: dict[str, None] = {}
-        self._held_until_s = 0.0
+        self._first_observed_s: float | None = None
+        self._newest_observed_s = 0.0
+        self._leaving: dict[str, None] = {}
+        self._uncertain_until_s = 0.0
 
     @property
-    def current(self) -> str | None:
-        """The newest run, or ``None``."""
+    def newest(self) -> str | None:
+        """Id of the newest incarnation, or ``None`` if none was observed."""
         return self._seen[-1] if self._seen else None
 
-    def observe(self, run: str, now_s: float) -> None:
-        """Note that the source shows ``run``."""
-        if self._first_s is None:
-            self._first_s = now_s
-        if run != self.current:
-            if run in self._seen:
-                if now_s - self._shown_s < self._silence_s:
+    def observe(self, incarnation: str, now_s: float) -> None:
+        """Record that the source shows an incarnation; ``now_s`` is loop time."""
+        if self._first_observed_s is None:
+            self._first_observed_s = now_s
+        if incarnation != self.newest:
+            if incarnation in self._seen:
+                if now_s - self._newest_observed_s < self._silence_s:
                     return
-                self._seen.remove(run)
-            self._seen.append(run)
-            del self._seen[:-MAX_RUNS]
-        self._shown_s = now_s
+                self._seen.remove(incarnation)
+            self._seen.append(incarnation)
+            del self._seen[:-MAX_INCARNATIONS]
+        self._newest_observed_s = now_s
 
-    def close(self, run: str, now_s: float) -> bool:
-        """Note that ``run`` is leaving.
+    def mark_leaving(self, incarnation: str, now_s: float) -> bool:
+        """Record that an incarnation is leaving.
 
-        :returns: whether this says something new about the newest run
+        :returns: whether this is new and may concern the newest incarnation
         """
-        if run in self._closed:
+        if incarnation in self._leaving:
             return False
-        self._closed[run] = None
-        if len(self._closed) > MAX_RUNS:
-            del self._closed[next(iter(self._closed))]
-        if run not in self._seen:
-            self._held_until_s = now_s + self._hold_s
+        self._leaving[incarnation] = None
+        if len(self._leaving) > MAX_INCARNATIONS:
+            del self._leaving[next(iter(self._leaving))]
+        if incarnation not in self._seen:
+            self._uncertain_until_s = now_s + self._source_lag_s
             return True
-        return run == self.current
+        return incarnation == self.newest
 
     def is_leaving(self, now_s: float) -> bool:
-        """Whether the newest run is leaving, or may be."""
-        if self.current is None or self.current in self._closed:
-            return bool(self._closed)
-        if now_s < self._held_until_s and not self._closed.keys() <= {*self._seen}:
+        """Whether the newest incarnation is leaving or may be leaving."""
+        if self.newest is None or self.newest in self._leaving:
+            return bool(self._leaving)
+        if now_s < self._uncertain_until_s and not self._leaving.keys() <= {
+            *self._seen
+        }:
             return True
-        return bool(self._closed) and self._is_order_doubtful(now_s)
+        return bool(self._leaving) and self._is_order_uncertain(now_s)
 
-    def marks(self, now_s: float) -> tuple[str, ...]:
-        """Return the leaving runs, unless the newest run is not leaving."""
-        return tuple(sorted(self._closed)) if self.is_leaving(now_s) else ()
+    def leaving_ids(self, now_s: float) -> tuple[str, ...]:
+        """Return the leaving incarnations; none if the newest is not leaving."""
+        return tuple(sorted(self._leaving)) if self.is_leaving(now_s) else ()
 
-    def _is_order_doubtful(self, now_s: float) -> bool:
-        """Whether a run shown first may still be newer than one shown later."""
-        if not self._hold_s or self._first_s is None:
+    def _is_order_uncertain(self, now_s: float) -> bool:
+        """Whether an incarnation may be newer than one observed after it."""
+        if not self._source_lag_s or self._first_observed_s is None:
             return False
-        return now_s < self._first_s + self._hold_s + self._silence_s
+        return now_s < self._first_observed_s + self._source_lag_s + self._silence_s
--- a/libs/membership/src/bilberryhitch_membership/vitals.py
+++ b/libs/membership/src/bilberryhitch_membership/vitals.py
@@ -1,4 +1,4 @@
-"""What other services tell peers through the heartbeats."""
+"""Heartbeat fields that are provided by other services of the entry host."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
--- a/libs/membership/tests/test_boot_rows.py
+++ b/libs/membership/tests/test_boot_rows.py
@@ -12,13 +12,14 @@
     return BootRows(tables, lambda: f"op-{next(numbers)}")
 
 
-def test_overlapping_deletions_of_the_same_rows():
-    # Guards against a KeyError in the later call, which ended it unseen.
+def test_concurrent_deletions_of_the_same_rows():
+    # Guards against a KeyError that ended the later of two concurrent calls without
+    # any report.
     async def main():
         tables = FaultyTables(MemoryTables())
         rows = rows_of(tables)
         for host in ("w1", "w2"):
-            rows.must_save(host)
+            rows.mark_unsaved(host)
         await rows.save(lambda host: ("b1",))
         tables.slow_s = 1.5
         first = asyncio.create_task(rows.delete(["w1", "w2"]))
@@ -34,16 +35,16 @@
     run_virtual(main())
 
 
-def test_what_could_not_be_saved_is_saved_later():
+def test_failed_writes_are_retried_by_the_next_save():
     async def main():
         tables = FaultyTables(MemoryTables())
         rows = rows_of(tables)
-        rows.must_save("w1")
+        rows.mark_unsaved("w1")
         tables.down = True
         await rows.save(lambda host: ("b1",))
         tables.down = False
         await rows.save(lambda host: ("b1",))
         row = await tables.get("drains/w1/boots")
-        assert rows.read(row) == [DrainNotice("w1", True, 0, boot_id="b1")]
+        assert rows.load(row) == [DrainNotice("w1", True, 0, boot_id="b1")]
 
     run_virtual(main())
--- a/libs/membership/tests/test_membership.py
+++ b/libs/membership/tests/test_membership.py
@@ -16,7 +16,7 @@
 
 
 class Cluster:
-    """Memberships joined by immediate delivery."""
+    """Memberships that deliver messages to each other immediately."""
 
     def __init__(self, names=NAMES):
         self.inner = MemoryTables()
@@ -58,7 +58,7 @@
             await member.close()
 
 
-def virtual(scenario):
+def in_virtual_time(scenario):
     def test():
         run_virtual(scenario())
 
@@ -66,8 +66,8 @@
     return test
 
 
-@virtual
-async def test_silent_hosts_are_not_live_after_two_seconds():
+@in_virtual_time
+async def test_a_host_without_heartbeats_for_two_seconds_is_not_live():
     async with Cluster() as cluster:
         assert cluster.members["e1"].entry_hosts("ruwi") == list(NAMES)
         await cluster.members["e3"].close()
@@ -77,8 +77,8 @@
         assert cluster.members["e1"].entry_hosts("ruwi") == ["e1", "e2"]
 
 
-@virtual
-async def test_a_fresh_process_trusts_the_list_for_two_seconds():
+@in_virtual_time
+async def test_listed_hosts_count_as_live_for_two_seconds_after_the_start():
     cluster = Cluster(["e1"])
     await cluster.members["e1"].start()
     await asyncio.sleep(1.9)
@@ -88,8 +88,8 @@
     await cluster.members["e1"].close()
 
 
-@virtual
-async def test_a_drain_is_recorded_audited_and_undone():
+@in_virtual_time
+async def test_a_drain_is_committed_with_an_audit_row_and_undone():
     async with Cluster() as cluster:
         record = (await cluster.members["e1"].drain("w1", "ann")).ok
         row = await cluster.inner.get("drains/w1")
@@ -98,16 +98,18 @@
         page = await cluster.inner.scan("audit/")
         assert b'"action":"drain"' in page.rows[0].value
         assert all(
-            m.endpoints("worker", "ruwi") == [] for m in cluster.members.values()
+            member.endpoints("worker", "ruwi") == []
+            for member in cluster.members.values()
         )
         await cluster.members["e2"].undrain("w1", "bob")
         assert all(
-            m.endpoints("worker", "ruwi") == [W1] for m in cluster.members.values()
+            member.endpoints("worker", "ruwi") == [W1]
+            for member in cluster.members.values()
         )
 
 
-@virtual
-async def test_a_drain_while_the_store_is_down_is_refused():
+@in_virtual_time
+async def test_a_drain_fails_while_the_store_is_down():
     async with Cluster() as cluster:
         cluster.tables["e1"].down = True
         result = await cluster.members["e1"].drain("w1", "ann")
@@ -117,9 +119,9 @@
             await cluster.members["e1"].drain("w1/boots", "ann")
 
 
-@virtual
+@in_virtual_time
 async def test_older_notices_and_duplicates_change_nothing():
-    # Guards against a late drain notice that overrules a later undrain.
+    # Guards against a delayed drain notice that overrides a later undrain.
     async with Cluster() as cluster:
         member = cluster.members["e1"]
         member.receive_drain_notice(DrainNotice("w1", False, 9))
@@ -130,7 +132,7 @@
         assert len(cluster.messages) == before
 
 
-@virtual
+@in_virtual_time
 async def test_boot_rows_are_written_and_deleted_after_the_next_boot():
     async with Cluster() as cluster:
         cluster.hosts.set_host(W1._replace(state="leaving"))
@@ -146,9 +148,9 @@
         assert len(cluster.members["e1"].endpoints("worker", "ruwi")) == 1
 
 
-@virtual
-async def test_what_is_known_of_listed_hosts_is_kept_and_of_others_dropped():
-    # Guards against a drained boot that is offered again after an hour.
+@in_virtual_time
+async def test_the_boots_of_listed_hosts_are_kept_and_those_of_others_expire():
+    # Guards against a leaving boot that is offered for new work again after an hour.
     async with Cluster(["e1"]) as cluster:
         cluster.hosts.set_host(W1._replace(state="leaving"))
         cluster.hosts.set_host(W1._replace(name="w2"))
@@ -160,10 +162,10 @@
         assert "w2" not in cluster.members["e1"]._leaving._boots
 
 
-@virtual
-async def test_an_older_boot_listed_after_a_long_quiet_time_is_not_believed():
-    # Guards against the time of the last list being taken for that of the
-    # last change, which would let an older boot replace the newest.
+@in_virtual_time
+async def test_an_older_boot_does_not_become_the_newest_after_an_unchanged_list():
+    # Guards against counting the silence of the newest boot from the last change of
+    # the host list instead of the last poll, which lets an older boot replace it.
     async with Cluster(["e1"]) as cluster:
         await asyncio.sleep(200.0)
         cluster.hosts.set_host(W1._replace(boot_id="b2"))
@@ -175,8 +177,8 @@
         assert cluster.members["e1"].endpoints("worker", "ruwi") == []
 
 
-@virtual
-async def test_the_heartbeat_of_an_earlier_run_is_ignored():
+@in_virtual_time
+async def test_the_heartbeat_of_an_earlier_incarnation_is_ignored():
     async with Cluster() as cluster:
         old = Heartbeat("e2", "ruwi", "e2-i1", False, 0)
         cluster.members["e2"].leave()
@@ -191,39 +193,43 @@
         assert not cluster.members["e1"].is_leaving("e2")
 
 
-@virtual
-async def test_quiet_hosts_send_no_notices():
-    # Guards against digests that never agree, which would repeat notices.
+@in_virtual_time
+async def test_no_notices_are_sent_without_changes():
+    # Guards against digests that never match, which would resend notices forever.
     async with Cluster() as cluster:
         await cluster.members["e1"].drain("w1", "ann")
         cluster.hosts.set_host(W1._replace(state="leaving"))
         await asyncio.sleep(5.0)
-        before = [m for m in cluster.messages if isinstance(m, DrainNotice)]
+        before = [
+            message for message in cluster.messages if isinstance(message, DrainNotice)
+        ]
         await asyncio.sleep(20.0)
-        after = [m for m in cluster.messages if isinstance(m, DrainNotice)]
+        after = [
+            message for message in cluster.messages if isinstance(message, DrainNotice)
+        ]
         assert len(after) == len(before)
 
 
-def test_fan_out_covers_other_data_centres_between_the_senders():
-    here = [f"a{number}" for number in range(4)]
-    there = [f"b{number}" for number in range(7)]
+def test_the_senders_together_cover_a_remote_data_centre():
+    local = [f"a{number}" for number in range(4)]
+    remote_hosts = [f"b{number}" for number in range(7)]
     peers = [
         PeerAddress(name, "ab"[name[0] == "b"], Address("127.0.0.1", 1))
-        for name in here + there
+        for name in local + remote_hosts
     ]
     picked = []
-    for name in here:
+    for name in local:
         entry = EntryHosts(Identity(name, "a", "i"), peers, 0.0)
-        for other in here:
+        for other in local:
             entry.record_heartbeat(Heartbeat(other, "a", "i", False, 0), 5.0)
-        targets = entry.fan_out(5.0)
-        assert set(here) - {name} < set(targets)
-        remote = [target for target in targets if target in there]
+        targets = entry.heartbeat_targets(5.0)
+        assert set(local) - {name} < set(targets)
+        remote = [target for target in targets if target in remote_hosts]
         assert len(remote) == 2
         picked += remote
-    assert set(picked) == set(there)
+    assert set(picked) == set(remote_hosts)
 
 
-def test_owner_needs_hosts():
+def test_owner_rejects_an_empty_list_of_hosts():
     with pytest.raises(ValueError):
         owner("k", [])
--- a/libs/membership/tests/test_rendezvous.py
+++ b/libs/membership/tests/test_rendezvous.py
@@ -4,7 +4,7 @@
 
 
 def test_scores_do_not_change_between_processes_or_versions():
-    # Guards against a hash that differs between hosts, such as hash().
+    # Guards against a hash that differs between processes, such as hash().
     assert ranked("x1", ["e1", "e2", "e3", "e4"]) == ["e2", "e1", "e3", "e4"]
 
 
@@ -13,7 +13,7 @@
         assert owner(key, HOSTS) == ranked(key, reversed(HOSTS))[0]
 
 
-def test_a_lost_host_moves_only_its_own_keys():
+def test_removing_a_host_moves_only_its_keys():
     for key in map(str, range(200)):
         before = owner(key, HOSTS)
         after = owner(key, [host for host in HOSTS if host != "e3"])
