--- a/libs/membership/src/bilberryhitch_membership/leaving_hosts.py
+++ b/libs/membership/src/bilberryhitch_membership/leaving_hosts.py
@@ -9,7 +9,7 @@
 
 from .drains import Drains
 from .entry_hosts import LIVENESS_TIMEOUT_S
-from .run_ledger import RunLedger
+from .incarnation_tracker import RunLedger
 
 
 class LeavingHosts:
--- a/libs/membership/tests/test_run_ledger.py
+++ b/libs/membership/tests/test_incarnation_tracker.py
@@ -1,4 +1,4 @@
-from bilberryhitch_membership.run_ledger import RunLedger
+from bilberryhitch_membership.incarnation_tracker import RunLedger
 
 
 def ledger_with(*incarnations, source_lag_s=0.0):
--- a/tests/machines/mutants_point6_leaving.py
+++ b/tests/machines/mutants_point6_leaving.py
@@ -5,8 +5,8 @@
 from bilberryhitch_membership import Membership
 from bilberryhitch_membership.drains import Drains
 from bilberryhitch_membership.entry_hosts import EntryHosts
+from bilberryhitch_membership.incarnation_tracker import RunLedger
 from bilberryhitch_membership.polling import Poller
-from bilberryhitch_membership.run_ledger import RunLedger
 
 from .world_point6_leaving import HOST_LIST_LAG_S
 
