--- a/libs/membership/src/bilberryhitch_membership/incarnation_tracker.py
+++ b/libs/membership/src/bilberryhitch_membership/incarnation_tracker.py
@@ -3,7 +3,7 @@
 MAX_INCARNATIONS = 16
 
 
-class RunLedger:
+class IncarnationTracker:
     """Incarnations of a host: its boots, or the processes of its entry host.
 
     The ids of incarnations have no order, and a source that lags may show an older
--- a/libs/membership/src/bilberryhitch_membership/leaving_hosts.py
+++ b/libs/membership/src/bilberryhitch_membership/leaving_hosts.py
@@ -9,7 +9,7 @@
 
 from .drains import Drains
 from .entry_hosts import LIVENESS_TIMEOUT_S
-from .incarnation_tracker import RunLedger
+from .incarnation_tracker import IncarnationTracker
 
 
 class LeavingHosts:
@@ -24,11 +24,11 @@
 
     def __init__(self, identity: Identity, host_list_lag_s: float) -> None:
         self._drains = Drains()
-        self._boots: defaultdict[str, RunLedger] = defaultdict(
-            lambda: RunLedger(host_list_lag_s, host_list_lag_s)
+        self._boots: defaultdict[str, IncarnationTracker] = defaultdict(
+            lambda: IncarnationTracker(host_list_lag_s, host_list_lag_s)
         )
-        self._processes: defaultdict[str, RunLedger] = defaultdict(
-            lambda: RunLedger(LIVENESS_TIMEOUT_S)
+        self._processes: defaultdict[str, IncarnationTracker] = defaultdict(
+            lambda: IncarnationTracker(LIVENESS_TIMEOUT_S)
         )
         self._processes[identity.host].observe(identity.incarnation, 0.0)
         self._candidates: set[str] = set()
--- a/tests/machines/mutants_point6_leaving.py
+++ b/tests/machines/mutants_point6_leaving.py
@@ -5,7 +5,7 @@
 from bilberryhitch_membership import Membership
 from bilberryhitch_membership.drains import Drains
 from bilberryhitch_membership.entry_hosts import EntryHosts
-from bilberryhitch_membership.incarnation_tracker import RunLedger
+from bilberryhitch_membership.incarnation_tracker import IncarnationTracker
 from bilberryhitch_membership.polling import Poller
 
 from .world_point6_leaving import HOST_LIST_LAG_S
@@ -79,7 +79,9 @@
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
-        self._leaving._boots.default_factory = lambda: RunLedger(HOST_LIST_LAG_S)
+        self._leaving._boots.default_factory = lambda: IncarnationTracker(
+            HOST_LIST_LAG_S
+        )
 
 
 class LastNoticeWins(Membership):
