--- a/libs/membership/src/bilberryhitch_membership/incarnation_tracker.py
+++ b/libs/membership/src/bilberryhitch_membership/incarnation_tracker.py
@@ -9,9 +9,9 @@
     The ids of incarnations have no order, and a source that lags may show an older
     incarnation after a newer one. Therefore an incarnation that was never observed is
     considered the newest. One that was observed earlier becomes the newest again only
-    if the newest has not been observed for ``silence_s``.
+    if the newest has not been observed for ``reorder_window_s``.
 
-    :param silence_s: maximum time for which a source may show an older incarnation
+    :param reorder_window_s: maximum time for which a source may show an older incarnation
     :param source_lag_s: maximum lag of the source, or 0 if it does not lag. For this
         time after an incarnation that was never observed is marked as leaving, the
         newest observed one also counts as leaving, because it may be the older of the
@@ -19,8 +19,8 @@
         has not been observed for long enough to know the order of incarnations
     """
 
-    def __init__(self, silence_s: float, source_lag_s: float = 0.0) -> None:
-        self._silence_s = silence_s
+    def __init__(self, reorder_window_s: float, source_lag_s: float = 0.0) -> None:
+        self._reorder_window_s = reorder_window_s
         self._source_lag_s = source_lag_s
         self._seen: list[str] = []
         self._first_observed_s: float | None = None
@@ -39,7 +39,7 @@
             self._first_observed_s = now_s
         if incarnation != self.newest:
             if incarnation in self._seen:
-                if now_s - self._newest_observed_s < self._silence_s:
+                if now_s - self._newest_observed_s < self._reorder_window_s:
                     return
                 self._seen.remove(incarnation)
             self._seen.append(incarnation)
@@ -79,4 +79,6 @@
         """Whether an incarnation may be newer than one observed after it."""
         if not self._source_lag_s or self._first_observed_s is None:
             return False
-        return now_s < self._first_observed_s + self._source_lag_s + self._silence_s
+        return (
+            now_s < self._first_observed_s + self._source_lag_s + self._reorder_window_s
+        )
--- a/libs/membership/tests/test_incarnation_tracker.py
+++ b/libs/membership/tests/test_incarnation_tracker.py
@@ -2,7 +2,7 @@
 
 
 def tracker_with(*incarnations, source_lag_s=0.0):
-    tracker = IncarnationTracker(silence_s=2.0, source_lag_s=source_lag_s)
+    tracker = IncarnationTracker(reorder_window_s=2.0, source_lag_s=source_lag_s)
     for incarnation in incarnations:
         tracker.observe(incarnation, 0.0)
     return tracker
@@ -59,7 +59,7 @@
 def test_the_order_of_incarnations_is_uncertain_at_first():
     # Guards against a restarted process that considers an older boot a reboot of a
     # leaving host, because the host list alternates between current and stale rows.
-    tracker = IncarnationTracker(silence_s=60.0, source_lag_s=60.0)
+    tracker = IncarnationTracker(reorder_window_s=60.0, source_lag_s=60.0)
     tracker.observe("b2", 0.0)
     tracker.mark_leaving("b2", 0.0)
     tracker.observe("b1", 2.0)
--- a/tests/machines/mutants_point6_leaving.py
+++ b/tests/machines/mutants_point6_leaving.py
@@ -70,7 +70,7 @@
 
     def _apply_list(self, hosts):
         for host in hosts:
-            self._leaving._boots[host.name]._silence_s = 0.0
+            self._leaving._boots[host.name]._reorder_window_s = 0.0
         super()._apply_list(hosts)
 
 
