--- a/libs/app/src/bilberryhitch/entry_host.py
+++ b/libs/app/src/bilberryhitch/entry_host.py
@@ -13,7 +13,7 @@
 from bilberryhitch_api.tokens import caller_authentication
 from bilberryhitch_config import ConfigService, read_audit
 from bilberryhitch_gangs import HttpWorkerClient, JobService, PlannerSet
-from bilberryhitch_membership import Membership, Vitals
+from bilberryhitch_membership import HeartbeatFields, Membership
 from bilberryhitch_model import Address, Identity, JobRecord
 from bilberryhitch_peers import Message, PeerLink
 from bilberryhitch_platform import (
@@ -250,8 +250,8 @@
     def _broadcast_local(self, message: Message) -> None:
         self._link.broadcast(message, self._identity.data_centre)
 
-    def _vitals(self) -> Vitals:
-        return Vitals(
+    def _vitals(self) -> HeartbeatFields:
+        return HeartbeatFields(
             self._config.tables_view.revision,
             self._changed_usage(),
             self._requests.free_slots(),
--- a/libs/membership/src/bilberryhitch_membership/vitals.py
+++ b/libs/membership/src/bilberryhitch_membership/heartbeat_fields.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 
-class Vitals(NamedTuple):
+class HeartbeatFields(NamedTuple):
     """Fields of :class:`~bilberryhitch_peers.Heartbeat` of the same names."""
 
     config_revision: int = 0
--- a/libs/membership/src/bilberryhitch_membership/membership.py
+++ b/libs/membership/src/bilberryhitch_membership/membership.py
@@ -19,10 +19,10 @@
 from .boot_rows import BootRows
 from .drains import DrainRecord, DrainRow, drain_notices, read_drain_rows, write_drain
 from .entry_hosts import EntryHosts
+from .heartbeat_fields import HeartbeatFields
 from .leaving_hosts import LeavingHosts
 from .polling import Poller
 from .rendezvous import owner
-from .vitals import Vitals
 
 HEARTBEAT_INTERVAL_S = 0.5
 DRAIN_POLL_INTERVAL_S = 1.0
@@ -61,7 +61,7 @@
         broadcast: Callable[[Message], None],
         send: Callable[[str, Message], bool] | None = None,
         peers: Sequence[PeerAddress] = (),
-        vitals: Callable[[], Vitals] = Vitals,
+        vitals: Callable[[], HeartbeatFields] = HeartbeatFields,
         host_list_lag_s: float = MAX_HOST_LIST_LAG_S,
     ) -> None:
         self._identity = identity
--- a/measure/control_cost.py
+++ b/measure/control_cost.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 import psutil
-from bilberryhitch_membership import Membership, Vitals
+from bilberryhitch_membership import HeartbeatFields, Membership
 from bilberryhitch_model import Address, Host, Identity, PeerAddress
 from bilberryhitch_peers import DrainNotice, Heartbeat, Message, PeerLink
 from bilberryhitch_platform import MemoryHostList, MemoryTables
@@ -53,7 +53,7 @@
         identity: Identity,
         store: MemoryTables,
         hosts: MemoryHostList,
-        vitals: Vitals,
+        vitals: HeartbeatFields,
     ) -> None:
         numbers = count()
         self.identity = identity
@@ -78,9 +78,11 @@
         return None
 
 
-def usage_of(accounts: int) -> Vitals:
+def usage_of(accounts: int) -> HeartbeatFields:
     """Return what a heartbeat carries for a number of client accounts."""
-    return Vitals(1, {f"p/account-{n}": 123.5 for n in range(accounts)}, {"p": 8})
+    return HeartbeatFields(
+        1, {f"p/account-{n}": 123.5 for n in range(accounts)}, {"p": 8}
+    )
 
 
 def worker_list(rng: random.Random) -> MemoryHostList:
@@ -92,7 +94,9 @@
     return MemoryHostList(workers)
 
 
-async def start_hosts(size: int, rng: random.Random, vitals: Vitals) -> list[EntryHost]:
+async def start_hosts(
+    size: int, rng: random.Random, vitals: HeartbeatFields
+) -> list[EntryHost]:
     """Start ``size`` entry hosts that know each other."""
     store = MemoryTables()
     host_list = worker_list(rng)
