--- a/libs/app/src/bilberryhitch/entry_host.py
+++ b/libs/app/src/bilberryhitch/entry_host.py
@@ -167,7 +167,7 @@
             broadcast=self._link.broadcast,
             send=self._link.send,
             peers=self._settings.peers,
-            vitals=self._vitals,
+            heartbeat_fields=self._heartbeat_fields,
         )
         self._config = ConfigService(
             tables,
@@ -250,7 +250,7 @@
     def _broadcast_local(self, message: Message) -> None:
         self._link.broadcast(message, self._identity.data_centre)
 
-    def _vitals(self) -> HeartbeatFields:
+    def _heartbeat_fields(self) -> HeartbeatFields:
         return HeartbeatFields(
             self._config.tables_view.revision,
             self._changed_usage(),
--- a/libs/membership/src/bilberryhitch_membership/__init__.py
+++ b/libs/membership/src/bilberryhitch_membership/__init__.py
@@ -9,8 +9,8 @@
     "DrainAudit",
     "DrainRecord",
     "DrainRow",
+    "HeartbeatFields",
     "Membership",
-    "Vitals",
     "owner",
     "ranked",
 ]
--- a/libs/membership/src/bilberryhitch_membership/incarnation_tracker.py
+++ b/libs/membership/src/bilberryhitch_membership/incarnation_tracker.py
@@ -11,7 +11,8 @@
     considered the newest. One that was observed earlier becomes the newest again only
     if the newest has not been observed for ``reorder_window_s``.
 
-    :param reorder_window_s: maximum time for which a source may show an older incarnation
+    :param reorder_window_s: maximum time for which a source may show an older
+        incarnation after a newer one
     :param source_lag_s: maximum lag of the source, or 0 if it does not lag. For this
         time after an incarnation that was never observed is marked as leaving, the
         newest observed one also counts as leaving, because it may be the older of the
--- a/libs/membership/src/bilberryhitch_membership/membership.py
+++ b/libs/membership/src/bilberryhitch_membership/membership.py
@@ -46,7 +46,7 @@
     :param broadcast: sends a message to every peer
     :param send: sends a message to one peer; without it heartbeats are broadcast
     :param peers: entry hosts named in the settings
-    :param vitals: returns the heartbeat fields provided by other services
+    :param heartbeat_fields: returns the heartbeat fields provided by other services
     :param host_list_lag_s: maximum lag of the host list that is tolerated
     """
 
@@ -61,7 +61,7 @@
         broadcast: Callable[[Message], None],
         send: Callable[[str, Message], bool] | None = None,
         peers: Sequence[PeerAddress] = (),
-        vitals: Callable[[], HeartbeatFields] = HeartbeatFields,
+        heartbeat_fields: Callable[[], HeartbeatFields] = HeartbeatFields,
         host_list_lag_s: float = MAX_HOST_LIST_LAG_S,
     ) -> None:
         self._identity = identity
@@ -72,7 +72,7 @@
         self._broadcast = broadcast
         self._send = send
         self._peers = tuple(peers)
-        self._vitals = vitals
+        self._heartbeat_fields = heartbeat_fields
         self._started_s = 0.0
         self._entry = EntryHosts(identity, self._peers, self._started_s)
         self._listed: dict[str, Host] = {}
@@ -239,16 +239,16 @@
 
     def _heartbeat(self) -> Heartbeat:
         own = self._identity
-        vitals = self._vitals()
+        heartbeat_fields = self._heartbeat_fields()
         leaving = self._leaving.process_is_leaving(own.host, self._time_s())
         return Heartbeat(
             own.host,
             own.data_centre,
             own.incarnation,
             leaving,
-            vitals.config_revision,
-            dict(vitals.usage),
-            dict(vitals.free_slots),
+            heartbeat_fields.config_revision,
+            dict(heartbeat_fields.usage),
+            dict(heartbeat_fields.free_slots),
             self._leaving.drains_revision,
             self._leaving.digest(self._time_s()),
         )
--- a/measure/control_cost.py
+++ b/measure/control_cost.py
@@ -53,7 +53,7 @@
         identity: Identity,
         store: MemoryTables,
         hosts: MemoryHostList,
-        vitals: HeartbeatFields,
+        heartbeat_fields: HeartbeatFields,
     ) -> None:
         numbers = count()
         self.identity = identity
@@ -67,7 +67,7 @@
             new_id=lambda: f"{identity.incarnation}-{next(numbers)}",
             broadcast=self.link.broadcast,
             send=self.link.send,
-            vitals=lambda: vitals,
+            heartbeat_fields=lambda: heartbeat_fields,
         )
 
     async def _handle(self, sender: str, message: Message) -> Message | None:
@@ -95,7 +95,7 @@
 
 
 async def start_hosts(
-    size: int, rng: random.Random, vitals: HeartbeatFields
+    size: int, rng: random.Random, heartbeat_fields: HeartbeatFields
 ) -> list[EntryHost]:
     """Start ``size`` entry hosts that know each other."""
     store = MemoryTables()
@@ -106,7 +106,7 @@
         name = f"e{number}"
         data_centre = f"dc{number // HOSTS_PER_DATA_CENTRE}"
         identity = Identity(name, data_centre, f"{name}-1")
-        host = EntryHost(identity, store, host_list, vitals)
+        host = EntryHost(identity, store, host_list, heartbeat_fields)
         address = await host.link.start()
         hosts.append(host)
         addresses.append(PeerAddress(name, data_centre, address))
