--- a/libs/membership/src/bilberryhitch_membership/drains.py
+++ b/libs/membership/src/bilberryhitch_membership/drains.py
@@ -55,7 +55,7 @@
     def __init__(self) -> None:
         self._notices: dict[str, DrainNotice] = {}
 
-    def learn(self, notice: DrainNotice) -> bool:
+    def apply_notice(self, notice: DrainNotice) -> bool:
         """Store a notice unless its revision or a higher one is known.
 
         :returns: whether the notice was new
--- a/libs/membership/src/bilberryhitch_membership/leaving_hosts.py
+++ b/libs/membership/src/bilberryhitch_membership/leaving_hosts.py
@@ -36,14 +36,14 @@
         self._last_update_s: dict[str, float] = {}
         self.drains_revision = 0
 
-    def learn(self, notice: DrainNotice, now_s: float) -> bool:
+    def apply_notice(self, notice: DrainNotice, now_s: float) -> bool:
         """Apply a notice.
 
         :param now_s: loop time
         :returns: whether the notice was new and should be passed on to peers
         """
         if notice.store_revision:
-            return self._drains.learn(notice)
+            return self._drains.apply_notice(notice)
         self._last_update_s[notice.host] = now_s
         self._candidates.add(notice.host)
         if notice.incarnation:
--- a/libs/membership/src/bilberryhitch_membership/membership.py
+++ b/libs/membership/src/bilberryhitch_membership/membership.py
@@ -216,10 +216,10 @@
 
     def _learn(self, notice: DrainNotice) -> bool:
         """Apply a notice and broadcast it if it is new."""
-        news = self._leaving.learn(notice, self._time_s())
-        if news:
+        is_new = self._leaving.apply_notice(notice, self._time_s())
+        if is_new:
             self._broadcast(notice)
-        return news
+        return is_new
 
     def _catch_up(self, heartbeat: Heartbeat) -> None:
         """Send a peer the notices that are missing according to its heartbeat."""
--- a/tests/machines/mutants_point6_leaving.py
+++ b/tests/machines/mutants_point6_leaving.py
@@ -15,7 +15,7 @@
     """Tells peers nothing at once."""
 
     def _learn(self, notice):
-        return self._leaving.learn(notice, self._time_s())
+        return self._leaving.apply_notice(notice, self._time_s())
 
 
 class NoCatchUp(Membership):
@@ -75,7 +75,7 @@
 
 
 class NoHold(Membership):
-    """Believes a lagging list rather than news of a boot it never showed."""
+    """Believes a lagging list rather than is_new of a boot it never showed."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -93,10 +93,10 @@
 
 
 class UnversionedDrains(Drains):
-    def learn(self, notice):
-        news = super().learn(notice)
+    def apply_notice(self, notice):
+        is_new = super().apply_notice(notice)
         self._notices[notice.host] = notice
-        return news
+        return is_new
 
 
 class LeavesSilently(Membership):
