--- a/libs/membership/src/bilberryhitch_membership/membership.py
+++ b/libs/membership/src/bilberryhitch_membership/membership.py
@@ -118,12 +118,12 @@
         self._entry.record_heartbeat(heartbeat, now_s)
         if heartbeat.leaving:
             notice = DrainNotice(host, True, 0, incarnation=heartbeat.incarnation)
-            self._learn(notice)
+            self._apply_notice(notice)
         self._catch_up(heartbeat)
 
     def receive_drain_notice(self, notice: DrainNotice) -> None:
         """Handle a peer's notice that a host is leaving or was undrained."""
-        self._learn(notice)
+        self._apply_notice(notice)
 
     def answer_host_list(self) -> HostListReply | None:
         """Return the host list for a peer.
@@ -193,7 +193,7 @@
     def leave(self) -> None:
         """Announce that this process is leaving."""
         own = self._identity
-        self._learn(DrainNotice(own.host, True, 0, incarnation=own.incarnation))
+        self._apply_notice(DrainNotice(own.host, True, 0, incarnation=own.incarnation))
         self.fan_out(self._heartbeat())
 
     def fan_out(self, message: Message) -> None:
@@ -211,10 +211,10 @@
         drain = DrainRow(host, leaving, operator, self._now())
         result = await write_drain(self._tables, drain, self._new_id)
         if result.is_ok():
-            self._learn(DrainNotice(host, leaving, result.ok.revision))
+            self._apply_notice(DrainNotice(host, leaving, result.ok.revision))
         return result
 
-    def _learn(self, notice: DrainNotice) -> bool:
+    def _apply_notice(self, notice: DrainNotice) -> bool:
         """Apply a notice and broadcast it if it is new."""
         is_new = self._leaving.apply_notice(notice, self._time_s())
         if is_new:
@@ -258,7 +258,7 @@
         rows, complete_to = await read_drain_rows(self._tables, since)
         for row in rows:
             for notice in (*drain_notices(row), *self._boot_rows.load(row)):
-                self._learn(notice)
+                self._apply_notice(notice)
         self._leaving.drains_revision = max(self._leaving.drains_revision, complete_to)
 
     async def _expire_hosts(self) -> None:
@@ -302,7 +302,9 @@
             self._leaving.observe_boot(host, self._time_s())
             if host.state == "live":
                 continue
-            if self._learn(DrainNotice(host.name, True, 0, boot_id=host.boot_id)):
+            if self._apply_notice(
+                DrainNotice(host.name, True, 0, boot_id=host.boot_id)
+            ):
                 self._boot_rows.mark_unsaved(host.name)
                 self._boot_row_poller.poll_now()
         self._list_applied_s = self._time_s()
--- a/tests/machines/mutants_point6_leaving.py
+++ b/tests/machines/mutants_point6_leaving.py
@@ -14,7 +14,7 @@
 class NoNotices(Membership):
     """Tells peers nothing at once."""
 
-    def _learn(self, notice):
+    def _apply_notice(self, notice):
         return self._leaving.apply_notice(notice, self._time_s())
 
 
