--- a/libs/membership/src/bilberryhitch_membership/membership.py
+++ b/libs/membership/src/bilberryhitch_membership/membership.py
@@ -82,7 +82,7 @@
         self._leaving = LeavingHosts(identity, host_list_lag_s)
         self._boot_rows = BootRows(tables, new_id)
         self._catch_up_offsets: defaultdict[str, int] = defaultdict(int)
-        self._boot_row_poller = Poller(DRAIN_POLL_INTERVAL_S, self._keep_boot_rows)
+        self._boot_row_poller = Poller(DRAIN_POLL_INTERVAL_S, self._sync_boot_rows)
         self._pollers = (
             Poller(DRAIN_POLL_INTERVAL_S, self._poll_drains),
             Poller(HOST_LIST_POLL_INTERVAL_S, self._poll_host_list),
@@ -309,7 +309,7 @@
                 self._boot_row_poller.poll_now()
         self._list_applied_s = self._time_s()
 
-    async def _keep_boot_rows(self) -> None:
+    async def _sync_boot_rows(self) -> None:
         """Write rows for newly leaving boots; delete rows that are obsolete."""
         await self._boot_rows.save(self._leaving_boots)
         stored = self._boot_rows.hosts
--- a/tests/machines/mutants_point6_leaving.py
+++ b/tests/machines/mutants_point6_leaving.py
@@ -51,7 +51,7 @@
 class NoBootRows(Membership):
     """Does not save what it learned from the host list."""
 
-    async def _keep_boot_rows(self):
+    async def _sync_boot_rows(self):
         pass
 
 
