--- a/libs/membership/src/bilberryhitch_membership/membership.py
+++ b/libs/membership/src/bilberryhitch_membership/membership.py
@@ -74,7 +74,7 @@
         self._peers = tuple(peers)
         self._heartbeat_fields = heartbeat_fields
         self._started_s = 0.0
-        self._entry = EntryHosts(identity, self._peers, self._started_s)
+        self._entry_hosts = EntryHosts(identity, self._peers, self._started_s)
         self._listed: dict[str, Host] = {}
         self._list_applied_s = 0.0
         self._last_list_poll = 0
@@ -94,7 +94,7 @@
     async def start(self) -> None:
         """Start heartbeats and polls without waiting for the first answers."""
         self._started_s = self._time_s()
-        self._entry = EntryHosts(self._identity, self._peers, self._started_s)
+        self._entry_hosts = EntryHosts(self._identity, self._peers, self._started_s)
         for poller in self._pollers:
             await poller.start()
         self._heartbeats = asyncio.create_task(self._send_heartbeats())
@@ -115,7 +115,7 @@
         now_s = self._time_s()
         if not self._leaving.observe_process(host, heartbeat.incarnation, now_s):
             return  # delayed message of an earlier incarnation
-        self._entry.record_heartbeat(heartbeat, now_s)
+        self._entry_hosts.record_heartbeat(heartbeat, now_s)
         if heartbeat.leaving:
             notice = DrainNotice(host, True, 0, incarnation=heartbeat.incarnation)
             self._apply_notice(notice)
@@ -141,7 +141,7 @@
 
     def entry_hosts(self, data_centre: str) -> list[str]:
         """Return the live entry hosts that are not leaving, sorted by name."""
-        live = self._entry.live(data_centre, self._time_s())
+        live = self._entry_hosts.live(data_centre, self._time_s())
         return [host for host in live if not self.is_leaving(host)]
 
     def endpoints(self, kind: str, data_centre: str) -> list[Host]:
@@ -164,7 +164,7 @@
         """Return every known host with its state in this process's view."""
         unlisted = [
             Host(name, "entry", data_centre, "")
-            for name, data_centre in self._entry.unlisted().items()
+            for name, data_centre in self._entry_hosts.unlisted().items()
         ]
         return [
             host._replace(state="leaving") if self.is_leaving(host.name) else host
@@ -202,7 +202,7 @@
         if self._send is None or now_s - self._started_s < STARTUP_BROADCAST_S:
             self._broadcast(message)
             return
-        for host in self._entry.heartbeat_targets(now_s):
+        for host in self._entry_hosts.heartbeat_targets(now_s):
             self._send(host, message)
 
     async def _write_drain(
@@ -263,7 +263,7 @@
 
     async def _expire_hosts(self) -> None:
         before_s = self._time_s() - HOST_RETENTION_S
-        self._entry.expire(before_s)
+        self._entry_hosts.expire(before_s)
         self._leaving.expire(before_s, self._listed)
 
     async def _poll_host_list(self) -> None:
@@ -290,7 +290,7 @@
 
     def _apply_list(self, hosts: Sequence[Host]) -> None:
         before, self._listed = self._listed, {host.name: host for host in hosts}
-        self._entry.set_listed(hosts)
+        self._entry_hosts.set_listed(hosts)
         for host in hosts:
             # Most rows are unchanged. With thousands of hosts, processing all of them
             # took most of the CPU time of the control plane.
--- a/tests/machines/mutants_point6_leaving.py
+++ b/tests/machines/mutants_point6_leaving.py
@@ -110,7 +110,7 @@
     """Counts every entry host that was ever heard as live."""
 
     def entry_hosts(self, data_centre):
-        heard = self._entry._heard
+        heard = self._entry_hosts._heard
         live = {host for host, (where, _) in heard.items() if where == data_centre}
         live.update(super().entry_hosts(data_centre))
         return [host for host in live if not self.is_leaving(host)]
@@ -121,7 +121,7 @@
 
     async def start(self):
         await super().start()
-        self._entry = EntryHosts(self._identity, (), self._started_s + 58.0)
+        self._entry_hosts = EntryHosts(self._identity, (), self._started_s + 58.0)
 
 
 def late_notice(machine):
