--- a/libs/membership/src/bilberryhitch_membership/entry_hosts.py
+++ b/libs/membership/src/bilberryhitch_membership/entry_hosts.py
@@ -27,11 +27,11 @@
         self._configured = {peer.host: peer.data_centre for peer in peers}
         self._started_s = started_s
         self._listed: dict[str, str] = {}
-        self._heard: dict[str, tuple[str, float]] = {}
+        self._last_heartbeats: dict[str, tuple[str, float]] = {}
 
     def record_heartbeat(self, heartbeat: Heartbeat, now_s: float) -> None:
         """Record a heartbeat received at a loop time."""
-        self._heard[heartbeat.host] = (heartbeat.data_centre, now_s)
+        self._last_heartbeats[heartbeat.host] = (heartbeat.data_centre, now_s)
 
     def set_listed(self, hosts: Iterable[Host]) -> None:
         """Replace the entry hosts known from the host list."""
@@ -41,9 +41,11 @@
 
     def expire(self, before_s: float) -> None:
         """Remove hosts whose last heartbeat is older than a loop time."""
-        expired = [host for host, (_, at_s) in self._heard.items() if at_s < before_s]
+        expired = [
+            host for host, (_, at_s) in self._last_heartbeats.items() if at_s < before_s
+        ]
         for host in expired:
-            del self._heard[host]
+            del self._last_heartbeats[host]
 
     def live(self, data_centre: str, now_s: float) -> list[str]:
         """Return the live entry hosts of a data centre, sorted by name.
@@ -53,7 +55,7 @@
         """
         names = {
             host
-            for host, (location, at_s) in self._heard.items()
+            for host, (location, at_s) in self._last_heartbeats.items()
             if location == data_centre and now_s - at_s < LIVENESS_TIMEOUT_S
         }
         if data_centre == self._identity.data_centre:
@@ -68,7 +70,7 @@
         """Return the data centres of hosts with heartbeats that are not listed."""
         return {
             host: location
-            for host, (location, _) in self._heard.items()
+            for host, (location, _) in self._last_heartbeats.items()
             if host not in self._listed
         }
 
@@ -97,5 +99,7 @@
         return targets
 
     def _data_centres(self) -> dict[str, str]:
-        heard = {host: location for host, (location, _) in self._heard.items()}
+        heard = {
+            host: location for host, (location, _) in self._last_heartbeats.items()
+        }
         return self._configured | self._listed | heard
--- a/tests/machines/mutants_point6_leaving.py
+++ b/tests/machines/mutants_point6_leaving.py
@@ -110,7 +110,7 @@
     """Counts every entry host that was ever heard as live."""
 
     def entry_hosts(self, data_centre):
-        heard = self._entry_hosts._heard
+        heard = self._entry_hosts._last_heartbeats
         live = {host for host, (where, _) in heard.items() if where == data_centre}
         live.update(super().entry_hosts(data_centre))
         return [host for host in live if not self.is_leaving(host)]
