--- a/libs/api/tests/test_admin.py
+++ b/libs/api/tests/test_admin.py
@@ -62,7 +62,7 @@
             now=lambda: 1.0,
             new_id=lambda: f"op-{next(ids)}",
             broadcast=lambda message: None,
-            host_capacity=list,
+            hosts=list,
         )
 
     async def __aenter__(self):
--- a/libs/app/src/bilberryhitch/entry_host.py
+++ b/libs/app/src/bilberryhitch/entry_host.py
@@ -174,7 +174,7 @@
             now=time.time,
             new_id=_new_id,
             broadcast=self._membership.fan_out,
-            host_capacity=self._membership.hosts,
+            hosts=self._membership.hosts,
             send=self._link.send,
             broadcast_local=self._broadcast_local,
         )
--- a/libs/config/src/bilberryhitch_config/service.py
+++ b/libs/config/src/bilberryhitch_config/service.py
@@ -42,7 +42,7 @@
 
     :param now: UTC seconds, for the audit trail only
     :param broadcast: sends a message along the heartbeat fan-out
-    :param host_capacity: hosts known, to check guarantees against
+    :param hosts: hosts known, to check guarantees against
     :param poll_s: seconds between polls of the store
     :param send: sends a message to one peer; without it questions are broadcast
     :param broadcast_local: sends a message to the hosts of this data centre
@@ -55,7 +55,7 @@
         now: Callable[[], float],
         new_id: Callable[[], str],
         broadcast: Callable[[Message], None],
-        host_capacity: Callable[[], Sequence[Host]],
+        hosts: Callable[[], Sequence[Host]],
         poll_s: float = 1.0,
         send: Callable[[str, Message], object] | None = None,
         broadcast_local: Callable[[Message], None] | None = None,
@@ -64,7 +64,7 @@
         self._now = now
         self._new_id = new_id
         self._broadcast = broadcast
-        self._host_capacity = host_capacity
+        self._hosts = hosts
         self._poll_s = poll_s
         self._send = send
         self._broadcast_local = broadcast_local
@@ -116,7 +116,7 @@
         based = await self._based_on(base_revision)
         if based.is_error():
             return self._refused(based.error, operator)
-        checked = commits.check(self._view, change, self._host_capacity())
+        checked = commits.check(self._view, change, self._hosts())
         if checked.is_error():
             return self._refused(checked.error, operator)
         proposal = commits.propose(
@@ -142,7 +142,7 @@
         based = await self._based_on(base_revision)
         if based.is_error():
             return Error(based.error)
-        checked = commits.check(self._view, change, self._host_capacity())
+        checked = commits.check(self._view, change, self._hosts())
         return Error(checked.error) if checked.is_error() else Ok(checked.ok)
 
     async def receive(self, offer: ConfigOffer, *, forward: bool = True) -> None:
--- a/libs/config/tests/test_service.py
+++ b/libs/config/tests/test_service.py
@@ -34,7 +34,7 @@
             now=lambda: 5.0,
             new_id=lambda: f"op-{next(self.ids)}",
             broadcast=self.sent.append,
-            host_capacity=list,
+            hosts=list,
             **options,
         )
         return service, tables
--- a/tests/machines/world_point8_config.py
+++ b/tests/machines/world_point8_config.py
@@ -86,7 +86,7 @@
             broadcast=lambda message: self.send(name, others, message),
             broadcast_local=lambda message: self.send(name, local, message),
             send=lambda host, message: self.send(name, [host], message),
-            host_capacity=list,
+            hosts=list,
         )
         process.service.subscribe(lambda tables: self.adopted(name, run, tables))
         self.loop.run_until_complete(process.service.start())
