--- a/libs/config/src/bilberryhitch_config/__init__.py
+++ b/libs/config/src/bilberryhitch_config/__init__.py
@@ -2,7 +2,7 @@
 
 from .audit import AuditEntry, read_audit
 from .commits import ConfigError
-from .in_force import HostRevision
+from .host_revisions import HostRevision
 from .service import ConfigService
 
 __all__ = ["AuditEntry", "ConfigError", "ConfigService", "HostRevision", "read_audit"]
--- a/libs/config/src/bilberryhitch_config/service.py
+++ b/libs/config/src/bilberryhitch_config/service.py
@@ -24,7 +24,7 @@
     make_read_only,
 )
 from .commits import ConfigError
-from .in_force import HostRevision, InForce
+from .host_revisions import HostRevision, InForce
 from .rows import HeadRow, read_changes, read_head, read_history, read_snapshot
 
 # Beyond this many missing changes a snapshot is read or sent instead.
