--- a/libs/config/src/bilberryhitch_config/__init__.py
+++ b/libs/config/src/bilberryhitch_config/__init__.py
@@ -1,4 +1,4 @@
-"""Routes and pools: commit, adoption, history and audit."""
+"""Configuration tables (routes and pools): commits, replication and audit log."""
 
 from .audit import AuditEntry, read_audit
 from .commits import ConfigError
--- a/libs/config/src/bilberryhitch_config/adoption.py
+++ b/libs/config/src/bilberryhitch_config/adoption.py
@@ -1,4 +1,4 @@
-"""Which tables follow from a change; no I/O."""
+"""Applies changes to the configuration tables in memory; no I/O."""
 
 from collections import deque
 from collections.abc import Iterable, Mapping
@@ -21,39 +21,47 @@
 from .rows import decode_change, encode_change
 
 R = TypeVar("R", Route, Pool)
-NOTHING = Tables(0, MappingProxyType({}), MappingProxyType({}))
+EMPTY_TABLES = Tables(0, MappingProxyType({}), MappingProxyType({}))
 
 
-class Offered(NamedTuple):
-    """A decoded offer."""
+class DecodedOffer(NamedTuple):
+    """The decoded records of a :class:`~bilberryhitch_peers.ConfigOffer`.
+
+    :param snapshot: both tables, or ``None`` when the offer holds changes
+    """
 
     changes: tuple[ConfigChange, ...]
     snapshot: Tables | None
 
 
 def check_change(tables: Tables, change: TableChange) -> Result[None, TableInvalid]:
-    """Check that a change names each row once and removes only what exists."""
+    """Check that a change names each row once and deletes only existing rows."""
     if change == TableChange():
         return Error(TableInvalid("", "$", "", "changes at least one row"))
-    routes = _named("routes", change.put_routes, change.delete_routes, tables.routes)
+    routes = _check_row_names(
+        "routes", change.put_routes, change.delete_routes, tables.routes
+    )
     if routes.is_error():
         return routes
-    return _named("pools", change.put_pools, change.delete_pools, tables.pools)
+    return _check_row_names(
+        "pools", change.put_pools, change.delete_pools, tables.pools
+    )
 
 
 def apply_change(tables: Tables, change: TableChange, revision: int) -> Tables:
-    """Return new tables with a change applied; ``tables`` stays as it is."""
+    """Return new tables with a change applied; ``tables`` is not modified."""
     return Tables(
         revision,
-        _merged(tables.routes, change.put_routes, change.delete_routes),
-        _merged(tables.pools, change.put_pools, change.delete_pools),
+        _merge_rows(tables.routes, change.put_routes, change.delete_routes),
+        _merge_rows(tables.pools, change.put_pools, change.delete_pools),
     )
 
 
 def apply_changes(tables: Tables, changes: Iterable[ConfigChange]) -> Tables:
-    """Apply the changes that directly follow ``tables``.
+    """Return the tables after all changes with consecutive revisions.
 
-    Changes already contained are skipped; the first gap ends the run.
+    Changes that ``tables`` already contains are skipped. No change after the first
+    missing revision is applied.
     """
     for change in sorted(changes, key=lambda item: item.revision):
         if change.revision == tables.revision + 1:
@@ -62,7 +70,7 @@
 
 
 def make_read_only(tables: Tables) -> Tables:
-    """Return tables whose rows cannot be replaced by a holder of the view."""
+    """Return tables behind read-only mappings, so that readers cannot modify them."""
     return Tables(
         tables.revision,
         MappingProxyType(dict(tables.routes)),
@@ -70,24 +78,27 @@
     )
 
 
-def decode_offer(offer: ConfigOffer) -> Offered:
-    """Return what a peer offers.
+def decode_offer(offer: ConfigOffer) -> DecodedOffer:
+    """Decode the changes or the snapshot of a peer's offer.
 
-    :raises BadInput: a record does not decode
+    :raises BadInput: a record cannot be decoded
     """
     changes = tuple(decode_change(data) for data in offer.changes)
     snapshot = decode(Tables, offer.snapshot) if offer.snapshot else None
-    return Offered(changes, snapshot)
+    return DecodedOffer(changes, snapshot)
 
 
 class RecentChanges:
-    """The last changes, kept to answer peers that lack only a few."""
+    """The most recent changes, from which peers that lag a little are updated.
+
+    :param limit: number of changes kept
+    """
 
     def __init__(self, limit: int) -> None:
         self._changes: deque[ConfigChange] = deque(maxlen=limit)
 
     def add(self, changes: Iterable[ConfigChange], revision: int) -> None:
-        """Remember changes up to ``revision`` without gaps."""
+        """Keep changes up to ``revision``; a gap discards all changes before it."""
         for change in sorted(changes, key=lambda item: item.revision):
             last = self._changes[-1].revision if self._changes else 0
             if not last < change.revision <= revision:
@@ -97,21 +108,21 @@
             self._changes.append(change)
 
     def offer(self, tables: Tables, since: int) -> ConfigOffer:
-        """Return what leads from ``since`` to ``tables``."""
-        wanted = [change for change in self._changes if change.revision > since]
+        """Return the changes after revision ``since``, or a snapshot if any is gone."""
+        missing = [change for change in self._changes if change.revision > since]
         complete = (
-            len(wanted) == tables.revision - since
-            and bool(wanted)
-            and wanted[-1].revision == tables.revision
+            len(missing) == tables.revision - since
+            and bool(missing)
+            and missing[-1].revision == tables.revision
         )
         if complete:
             return ConfigOffer(
-                tables.revision, [encode_change(change) for change in wanted]
+                tables.revision, [encode_change(change) for change in missing]
             )
         return ConfigOffer(tables.revision, snapshot=encode(tables))
 
 
-def _named(
+def _check_row_names(
     table: str, puts: tuple[R, ...], deletes: tuple[str, ...], rows: Mapping[str, R]
 ) -> Result[None, TableInvalid]:
     seen: set[str] = set()
@@ -125,7 +136,7 @@
     return Ok(None)
 
 
-def _merged(
+def _merge_rows(
     rows: Mapping[str, R], puts: tuple[R, ...], deletes: tuple[str, ...]
 ) -> Mapping[str, R]:
     if not puts and not deletes:
--- a/libs/config/src/bilberryhitch_config/audit.py
+++ b/libs/config/src/bilberryhitch_config/audit.py
@@ -1,4 +1,4 @@
-"""The trail of operators' actions other than table changes."""
+"""The audit log of operator actions other than table changes."""
 
 from typing import NamedTuple
 
@@ -7,12 +7,12 @@
 from bilberryhitch_model.errors import BadInput
 from bilberryhitch_platform import Row, TableService
 
-from .rows import scan_all
+from .rows import scan_pages
 
-AUDIT = "audit/"
-# Keys start with the time, so the newest entries are found by reading back from
-# now in growing steps.
-STEPS_S = (3_600.0, 86_400.0, 30 * 86_400.0)
+AUDIT_PREFIX = "audit/"
+# Rows are scanned in ascending order of time only. The newest entries are found by
+# scanning from ever earlier start times.
+LOOKBACK_STEPS_S = (3_600.0, 86_400.0, 30 * 86_400.0)
 
 
 class AuditEntry(NamedTuple):
@@ -20,7 +20,7 @@
 
     :param at: UTC seconds
     :param action: ``drain`` or ``undrain``
-    :param host: the host acted on
+    :param host: name of the drained or undrained host
     """
 
     at: float
@@ -31,28 +31,31 @@
 
 
 async def read_audit(tables: TableService, limit: int, now: float) -> list[AuditEntry]:
-    """Return the last actions, newest first.
+    """Return the last operator actions, newest first.
 
-    Rows that do not decode are left out.
+    Rows that cannot be decoded are skipped.
 
-    :param now: UTC seconds
+    :param limit: maximum number of entries
+    :param now: current time in UTC seconds
     :raises StoreUnavailable: the store cannot be read
     """
-    for step_s in STEPS_S:
-        rows = await _rows(tables, f"{AUDIT}{max(0.0, now - step_s):017.6f}")
+    for lookback_s in LOOKBACK_STEPS_S:
+        rows = await _scan_audit(
+            tables, f"{AUDIT_PREFIX}{max(0.0, now - lookback_s):017.6f}"
+        )
         if len(rows) >= limit:
-            return _entries(rows, limit)
-    return _entries(await _rows(tables, ""), limit)
+            return _decode_entries(rows, limit)
+    return _decode_entries(await _scan_audit(tables, ""), limit)
 
 
-async def _rows(tables: TableService, after: str) -> list[Row]:
+async def _scan_audit(tables: TableService, after: str) -> list[Row]:
     rows: list[Row] = []
-    async for page in scan_all(tables, AUDIT, after):
+    async for page in scan_pages(tables, AUDIT_PREFIX, after):
         rows += page
     return rows
 
 
-def _entries(rows: list[Row], limit: int) -> list[AuditEntry]:
+def _decode_entries(rows: list[Row], limit: int) -> list[AuditEntry]:
     entries = []
     for row in reversed(rows):
         try:
--- a/libs/config/src/bilberryhitch_config/host_revisions.py
+++ b/libs/config/src/bilberryhitch_config/host_revisions.py
@@ -1,15 +1,15 @@
-"""Which configuration revision is in force at which host, by heartbeats."""
+"""The current configuration revision of each entry host, from heartbeats."""
 
 from typing import NamedTuple
 
-SILENT_S = 2.0
+SILENT_AFTER_S = 2.0
 
 
 class HostRevision(NamedTuple):
-    """What the last heartbeat of a host said.
+    """The configuration revision in the last heartbeat of a host.
 
     :param heard_s_ago: seconds since that heartbeat
-    :param silent: whether the host counts as cut off
+    :param silent: whether the host counts as unreachable
     """
 
     host: str
@@ -18,29 +18,29 @@
     silent: bool
 
 
-class InForce:
-    """The last revision heard from each host."""
+class HostRevisions:
+    """The last configuration revision received from each host."""
 
     def __init__(self) -> None:
-        self._heard: dict[str, tuple[int, float]] = {}
+        self._last_heartbeats: dict[str, tuple[int, float]] = {}
 
-    def hear(self, host: str, revision: int, now_s: float) -> None:
-        """Take the revision of a heartbeat; ``now_s`` is loop time."""
-        self._heard[host] = (revision, now_s)
+    def record(self, host: str, revision: int, now_s: float) -> None:
+        """Store the revision of a heartbeat; ``now_s`` is loop time."""
+        self._last_heartbeats[host] = (revision, now_s)
 
     def newest(self, now_s: float) -> tuple[str, int]:
-        """Return the host with the highest revision that is not silent."""
-        heard = [
+        """Return the host with the highest revision among those not silent."""
+        live = [
             (revision, host)
-            for host, (revision, at_s) in self._heard.items()
-            if now_s - at_s <= SILENT_S
+            for host, (revision, at_s) in self._last_heartbeats.items()
+            if now_s - at_s <= SILENT_AFTER_S
         ]
-        revision, host = max(heard, default=(0, ""))
+        revision, host = max(live, default=(0, ""))
         return host, revision
 
-    def view(self, now_s: float) -> list[HostRevision]:
-        """Return every host heard from, sorted by name."""
+    def list_hosts(self, now_s: float) -> list[HostRevision]:
+        """Return all hosts that ever sent a heartbeat, sorted by name."""
         return [
-            HostRevision(host, revision, now_s - at_s, now_s - at_s > SILENT_S)
-            for host, (revision, at_s) in sorted(self._heard.items())
+            HostRevision(host, revision, now_s - at_s, now_s - at_s > SILENT_AFTER_S)
+            for host, (revision, at_s) in sorted(self._last_heartbeats.items())
         ]
--- a/libs/config/src/bilberryhitch_config/rows.py
+++ b/libs/config/src/bilberryhitch_config/rows.py
@@ -18,20 +18,20 @@
 from bilberryhitch_model.errors import BadInput, StoreUnavailable
 from bilberryhitch_platform import Delete, Put, Row, TableService, Write
 
-HEAD = "config/head"
-CHANGES = "config/change/"
+HEAD_KEY = "config/head"
+CHANGE_PREFIX = "config/change/"
 ROUTE_PREFIX = "config/route/"
 POOL_PREFIX = "config/pool/"
-PAGE_ROWS = 500
-# A commit during the scan of 5,500 rows is likely at 17,000 changes a day only
-# when the store is slow; more tries than this mean that it is not usable.
-SNAPSHOT_TRIES = 5
+SCAN_PAGE_ROWS = 500
+# A scan fails when a commit interferes. At 17,000 changes a day and 5,500 rows, that
+# is likely only if the store is slow; further attempts would not succeed then.
+SNAPSHOT_ATTEMPTS = 5
 
 R = TypeVar("R", Route, Pool)
 
 
 class Head(NamedTuple):
-    """Value of the head row: the last accepted revision."""
+    """Value of the head row: the last committed revision."""
 
     revision: int
 
@@ -39,7 +39,7 @@
 class HeadRow(NamedTuple):
     """The head row.
 
-    :param revision: last accepted revision; 0 when nothing was committed
+    :param revision: last committed configuration revision; 0 if there is none
     :param row_revision: store revision to expect in a compare-and-set
     """
 
@@ -49,14 +49,14 @@
 
 def change_key(revision: int) -> str:
     """Return the key of a change row; keys sort by revision."""
-    return f"{CHANGES}{revision:012d}"
+    return f"{CHANGE_PREFIX}{revision:012d}"
 
 
 def change_writes(change: ConfigChange) -> list[Write]:
-    """Return every write of a commit: head, change row and table rows."""
+    """Return all writes of a commit: head row, change row and table rows."""
     rows = change.change
     writes: list[Write] = [
-        Put(HEAD, encode(Head(change.revision))),
+        Put(HEAD_KEY, encode(Head(change.revision))),
         Put(change_key(change.revision), encode_change(change)),
     ]
     writes += [Delete(ROUTE_PREFIX + name) for name in rows.delete_routes]
@@ -69,15 +69,18 @@
 
 
 def encode_change(change: ConfigChange) -> bytes:
-    """Return a change row: the change's fields beside its author's."""
+    """Return the value of a change row: a flat JSON object.
+
+    The fields of ``change.change`` stand beside those of ``change``.
+    """
     plain = to_plain(change)
     return msgspec.json.encode({**plain, **plain.pop("change")})
 
 
 def decode_change(data: bytes) -> ConfigChange:
-    """Return the change of a change row.
+    """Decode the value of a change row.
 
-    :raises BadInput: the row does not have the form of a change
+    :raises BadInput: the value is not an encoded change
     """
     try:
         plain: Any = msgspec.json.decode(data)
@@ -90,8 +93,8 @@
 
 
 async def read_head(tables: TableService) -> HeadRow:
-    """Return the head; revision 0 when nothing was ever committed."""
-    row = await tables.get(HEAD)
+    """Return the head row; revision 0 if nothing was ever committed."""
+    row = await tables.get(HEAD_KEY)
     if row is None:
         return HeadRow(0, 0)
     return HeadRow(decode(Head, row.value).revision, row.revision)
@@ -101,27 +104,27 @@
     tables: TableService, since: int, limit: int
 ) -> list[ConfigChange]:
     """Return at most ``limit`` changes after revision ``since``, oldest first."""
-    page = await tables.scan(CHANGES, after=change_key(since), limit=limit)
+    page = await tables.scan(CHANGE_PREFIX, after=change_key(since), limit=limit)
     return [decode_change(row.value) for row in page.rows]
 
 
 async def read_history(tables: TableService, limit: int) -> list[ConfigChange]:
-    """Return the last accepted changes, newest first."""
+    """Return the last ``limit`` committed changes, newest first."""
     head = await read_head(tables)
     changes = await read_changes(tables, max(0, head.revision - limit), limit)
     return changes[::-1]
 
 
 async def read_snapshot(tables: TableService) -> Tables:
-    """Return both tables as one commit left them.
+    """Return a consistent snapshot of both tables.
 
-    Every commit writes the head, so an unchanged head row proves that no commit
-    came between the first and the last page of the scans.
+    Every commit writes the head row, so an unchanged head row proves that no commit
+    happened during the scans.
 
-    :raises StoreUnavailable: commits interfered with every try
+    :raises StoreUnavailable: commits interfered with every attempt
     """
     head = await read_head(tables)
-    for _ in range(SNAPSHOT_TRIES):
+    for _ in range(SNAPSHOT_ATTEMPTS):
         routes = await _read_table(tables, ROUTE_PREFIX, Route)
         pools = await _read_table(tables, POOL_PREFIX, Pool)
         confirmed = await read_head(tables)
@@ -131,13 +134,16 @@
     raise StoreUnavailable("consistent scan of config/")
 
 
-async def scan_all(
+async def scan_pages(
     tables: TableService, prefix: str, after: str = ""
 ) -> AsyncIterator[Sequence[Row]]:
-    """Yield the pages of a prefix in key order."""
+    """Yield all pages of rows under a key prefix, in key order.
+
+    :param after: key after which the scan starts
+    """
     more = True
     while more:
-        page = await tables.scan(prefix, after=after, limit=PAGE_ROWS)
+        page = await tables.scan(prefix, after=after, limit=SCAN_PAGE_ROWS)
         yield page.rows
         more = page.more and bool(page.rows)
         after = page.rows[-1].key if page.rows else after
@@ -145,7 +151,7 @@
 
 async def _read_table(tables: TableService, prefix: str, kind: type[R]) -> dict[str, R]:
     rows: dict[str, R] = {}
-    async for page in scan_all(tables, prefix):
+    async for page in scan_pages(tables, prefix):
         for row in page:
             rows[row.key.removeprefix(prefix)] = decode(kind, row.value)
     return rows
--- a/libs/config/src/bilberryhitch_config/service.py
+++ b/libs/config/src/bilberryhitch_config/service.py
@@ -1,4 +1,4 @@
-"""Routes and pools in force in this process."""
+"""Keeps the configuration tables of this process up to date and commits changes."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -17,35 +17,37 @@
 
 from . import commits
 from .adoption import (
-    NOTHING,
+    EMPTY_TABLES,
     RecentChanges,
     apply_changes,
     decode_offer,
     make_read_only,
 )
 from .commits import ConfigError
-from .host_revisions import HostRevision, InForce
+from .host_revisions import HostRevision, HostRevisions
 from .rows import HeadRow, read_changes, read_head, read_history, read_snapshot
 
-# Beyond this many missing changes a snapshot is read or sent instead.
-MAX_CHANGES = 100
-ASK_INTERVAL_S = 0.5
+# A snapshot replaces the changes if more than this are missing.
+MAX_INCREMENTAL_CHANGES = 100
+MIN_ASK_INTERVAL_S = 0.5
 
-Callback = Callable[[Tables], None]
+Subscriber = Callable[[Tables], None]
 
 
 class ConfigService:
-    """Commits operators' changes and adopts what was accepted.
+    """Commits operators' changes and adopts committed changes.
 
-    A process adopts only a higher revision, from three sources: its own commits,
-    the polled store, and offers of peers. A view is replaced as a whole.
+    A process adopts only revisions higher than its own, from three sources: its own
+    commits, polls of the store, and offers of peers. The tables are replaced as a
+    whole.
 
-    :param now: UTC seconds, for the audit trail only
-    :param broadcast: sends a message along the heartbeat fan-out
-    :param hosts: hosts known, to check guarantees against
+    :param now: returns UTC seconds, for the history only
+    :param new_id: returns a unique operation id
+    :param broadcast: sends a message to the peers that receive heartbeats
+    :param hosts: returns the known hosts, against which guarantees are checked
     :param poll_s: seconds between polls of the store
-    :param send: sends a message to one peer; without it questions are broadcast
-    :param broadcast_local: sends a message to the hosts of this data centre
+    :param send: sends a message to one peer; without it, queries are broadcast
+    :param broadcast_local: sends a message to the entry hosts of this data centre
     """
 
     def __init__(
@@ -68,87 +70,87 @@
         self._poll_s = poll_s
         self._send = send
         self._broadcast_local = broadcast_local
-        self._view = NOTHING
+        self._view = EMPTY_TABLES
         self._confirmed_empty = False
-        self._recent = RecentChanges(MAX_CHANGES)
-        self._in_force = InForce()
-        self._callbacks: list[Callback] = []
+        self._recent_changes = RecentChanges(MAX_INCREMENTAL_CHANGES)
+        self._host_revisions = HostRevisions()
+        self._subscribers: list[Subscriber] = []
         self._last_ask_s = float("-inf")
         self._store_down = False
-        self._polling: asyncio.Task[None] | None = None
+        self._poll_task: asyncio.Task[None] | None = None
 
     @property
     def tables_view(self) -> Tables:
-        """Revision, routes and pools now in force; never changed in place."""
+        """The current tables; replaced on adoption, never modified in place."""
         return self._view
 
     @property
     def ready(self) -> bool:
-        """Whether a revision was adopted, or the store holds none yet."""
+        """Whether a revision was adopted, or the store is known to hold none yet."""
         return self._view.revision > 0 or self._confirmed_empty
 
     async def start(self) -> None:
-        """Start polling; does not wait for the first answer."""
+        """Start polling the store; does not wait for the first response."""
         self._ask("")
-        self._polling = asyncio.create_task(self._poll_forever())
+        self._poll_task = asyncio.create_task(self._poll_forever())
 
     async def close(self) -> None:
-        """Stop polling."""
-        if self._polling is None:
+        """Stop polling the store."""
+        if self._poll_task is None:
             return
-        self._polling.cancel()
-        await asyncio.gather(self._polling, return_exceptions=True)
-        self._polling = None
+        self._poll_task.cancel()
+        await asyncio.gather(self._poll_task, return_exceptions=True)
+        self._poll_task = None
 
-    def subscribe(self, callback: Callback) -> None:
-        """Call ``callback`` with each view from now on, in order of revision."""
-        self._callbacks.append(callback)
+    def subscribe(self, subscriber: Subscriber) -> None:
+        """Call ``subscriber`` with each adopted version of the tables, in order."""
+        self._subscribers.append(subscriber)
 
     async def commit(
         self, change: TableChange, base_revision: int, operator: str
     ) -> Result[Commit, ConfigError]:
         """Commit an operator's change on top of ``base_revision``.
 
-        :returns: the accepted revision. Of the errors only ``StoreAnswerLost``
-            leaves open whether the change was accepted; its operation id is
-            that of the change in the history.
+        :returns: the commit, or the error. ``StoreAnswerLost`` is the only error
+            after which the change may have been committed; the history then shows
+            it under the same operation id.
         """
-        based = await self._based_on(base_revision)
-        if based.is_error():
-            return self._refused(based.error, operator)
+        base = await self._check_base_revision(base_revision)
+        if base.is_error():
+            return self._log_rejection(base.error, operator)
         checked = commits.check(self._view, change, self._hosts())
         if checked.is_error():
-            return self._refused(checked.error, operator)
+            return self._log_rejection(checked.error, operator)
         proposal = commits.propose(
-            based.ok, change, operator, now=self._now, new_id=self._new_id
+            base.ok, change, operator, now=self._now, new_id=self._new_id
         )
         try:
             written = await commits.write(self._tables, proposal)
         except StoreError as error:
             return Error(error)
         if written.is_error():
-            return self._refused(written.error, operator)
-        return Ok(self._accepted(written.ok))
+            return self._log_rejection(written.error, operator)
+        return Ok(self._apply_commit(written.ok))
 
     async def tables_at(self, base_revision: int) -> Result[Tables, ConfigError]:
-        """Return the tables of a revision if it is the last accepted one."""
-        based = await self._based_on(base_revision)
-        return Error(based.error) if based.is_error() else Ok(self._view)
+        """Return the tables of ``base_revision`` if no later one is committed."""
+        base = await self._check_base_revision(base_revision)
+        return Error(base.error) if base.is_error() else Ok(self._view)
 
     async def check(
         self, change: TableChange, base_revision: int
     ) -> Result[Tables, ConfigError]:
-        """Return the tables that a change would lead to, without committing."""
-        based = await self._based_on(base_revision)
-        if based.is_error():
-            return Error(based.error)
+        """Return the tables after a change, without committing it."""
+        base = await self._check_base_revision(base_revision)
+        if base.is_error():
+            return Error(base.error)
         checked = commits.check(self._view, change, self._hosts())
         return Error(checked.error) if checked.is_error() else Ok(checked.ok)
 
     async def receive(self, offer: ConfigOffer, *, forward: bool = True) -> None:
-        """Adopt a peer's offer if it leads to a higher revision.
+        """Adopt a peer's offer if its revision is higher.
 
-        :param forward: whether to offer it to the hosts of this data centre
+        :param forward: whether to forward it to the entry hosts of this data centre
         """
         before = self._view.revision
         if offer.revision <= before:
@@ -167,15 +169,15 @@
             self._broadcast_local(self._offer(before))
 
     def answer(self, ask: ConfigAsk) -> ConfigOffer | None:
-        """Return what the asking peer lacks, or ``None`` when it lacks nothing."""
+        """Return the changes that the sender lacks, or ``None`` if it lacks none."""
         if ask.since >= self._view.revision:
             return None
         return self._offer(ask.since)
 
     async def handle(self, sender: str, message: Message) -> Message | None:
-        """Take a peer's message.
+        """Process a message of a peer.
 
-        :returns: the answer to a question, unless it was sent already
+        :returns: the reply to a ``ConfigAsk``, unless it was sent already
         """
         if isinstance(message, ConfigOffer):
             await self.receive(message)
@@ -189,30 +191,30 @@
         return None
 
     def receive_revision(self, host: str, revision: int) -> None:
-        """Take the revision of a peer's heartbeat; ask for it if it is higher."""
-        self._in_force.hear(host, revision, self._time_s())
+        """Store the revision of a peer's heartbeat; request it if it is higher."""
+        self._host_revisions.record(host, revision, self._loop_time_s())
         if revision > self._view.revision:
             self._ask(host)
 
     def host_revisions(self) -> list[HostRevision]:
-        """Return the revision of every host heard from, by its heartbeats."""
-        return self._in_force.view(self._time_s())
+        """Return the current revision of each entry host, from its heartbeats."""
+        return self._host_revisions.list_hosts(self._loop_time_s())
 
     async def history(self, limit: int) -> list[ConfigChange]:
-        """Return the last accepted changes, newest first.
+        """Return the last ``limit`` committed changes, newest first.
 
         :raises StoreUnavailable: the store cannot be read
         """
         return await read_history(self._tables, limit)
 
-    async def _based_on(self, revision: int) -> Result[HeadRow, ConfigError]:
-        """Return the head row if ``revision`` is accepted last and in force here."""
+    async def _check_base_revision(self, revision: int) -> Result[HeadRow, ConfigError]:
+        """Return the head row if ``revision`` is the last committed and current one."""
         try:
             head = await read_head(self._tables)
             await self._catch_up(head)
             if head.revision == revision == self._view.revision:
                 return Ok(head)
-            return Error(await commits.conflict(self._tables))
+            return Error(await commits.read_conflict(self._tables))
         except StoreError as error:
             return Error(error)
 
@@ -244,39 +246,39 @@
         self._store_down = False
 
     async def _catch_up(self, head: HeadRow) -> None:
-        """Adopt what the store holds, at least up to ``head``."""
+        """Adopt the committed changes in the store, at least up to ``head``."""
         missing = head.revision - self._view.revision
         if missing <= 0:
             return
-        if self._view.revision and missing <= MAX_CHANGES:
+        if self._view.revision and missing <= MAX_INCREMENTAL_CHANGES:
             since = self._view.revision
-            changes = await read_changes(self._tables, since, MAX_CHANGES)
+            changes = await read_changes(self._tables, since, MAX_INCREMENTAL_CHANGES)
             self._adopt(apply_changes(self._view, changes), changes)
         if self._view.revision < head.revision:
             self._adopt(await read_snapshot(self._tables), ())
 
     def _adopt(self, tables: Tables, changes: Sequence[ConfigChange]) -> None:
-        """Put ``tables`` in force; an old or equal revision changes nothing."""
+        """Replace the current tables; an equal or lower revision is ignored."""
         if tables.revision <= self._view.revision:
             return
         self._view = make_read_only(tables)
-        self._recent.add(changes, tables.revision)
+        self._recent_changes.add(changes, tables.revision)
         metrics.CONFIG_REVISION.set(tables.revision)
         log(events.CONFIG_ADOPTED, revision=tables.revision)
-        for callback in self._callbacks:
+        for subscriber in self._subscribers:
             try:
-                callback(self._view)
+                subscriber(self._view)
             except Exception as error:
                 log(events.TASK_FAILED, task="config subscriber", error=error)
 
-    def _accepted(self, change: ConfigChange) -> Commit:
+    def _apply_commit(self, change: ConfigChange) -> Commit:
         log(events.CONFIG_COMMITTED, revision=change.revision, operator=change.operator)
         self._adopt(apply_changes(self._view, [change]), [change])
         if self._view.revision >= change.revision:
             self._broadcast(self._offer(change.revision - 1))
         return Commit(change.revision, change.operator, change.at)
 
-    def _refused(
+    def _log_rejection(
         self, error: ConfigError, operator: str
     ) -> Result[Commit, ConfigError]:
         if isinstance(error, ConfigConflict):
@@ -286,12 +288,15 @@
         return Error(error)
 
     def _offer(self, since: int) -> ConfigOffer:
-        return self._recent.offer(self._view, since)
+        return self._recent_changes.offer(self._view, since)
 
     def _ask(self, host: str) -> None:
-        """Ask a peer, or all of the fan-out, for what is missing here."""
-        now_s = self._time_s()
-        if now_s - self._last_ask_s < ASK_INTERVAL_S:
+        """Request missing changes from a peer, or from all if ``host`` is empty.
+
+        At most one request is sent per ``MIN_ASK_INTERVAL_S``.
+        """
+        now_s = self._loop_time_s()
+        if now_s - self._last_ask_s < MIN_ASK_INTERVAL_S:
             return
         self._last_ask_s = now_s
         ask = ConfigAsk(self._view.revision)
@@ -300,5 +305,5 @@
         else:
             self._broadcast(ask)
 
-    def _time_s(self) -> float:
+    def _loop_time_s(self) -> float:
         return asyncio.get_running_loop().time()
