--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -27,7 +27,7 @@
     TaskName,
 )
 from bilberryhitch_planner import Planner, StartOrder, StopOutcome, WorkerEntry
-from bilberryhitch_standins.task_workers import TaskFleet, TaskTruth
+from bilberryhitch_standins.simulated_fleet import TaskFleet, TaskTruth
 from loguru import logger
 
 TICK_S = 0.02
--- a/tests/path/platform_deployment.py
+++ b/tests/path/platform_deployment.py
@@ -13,7 +13,7 @@
 import pytest
 from bilberryhitch_adapter_standins import FleetStandin, StoreStandin
 from bilberryhitch_jobs import Resources
-from bilberryhitch_standins.task_workers import TaskTruth, WorkerTerms
+from bilberryhitch_standins.simulated_fleet import TaskTruth, WorkerTerms
 
 TERMS = WorkerTerms(stop_s=0.1)
 KEY = {"Authorization": "Token key-a", "Host": "jobs.example"}
