--- a/libs/standins/src/bilberryhitch_standins/simulated_fleet.py
+++ b/libs/standins/src/bilberryhitch_standins/simulated_fleet.py
@@ -63,7 +63,7 @@
         return 100.0 * self.done_s / self.truth.work_s if self.truth.work_s else 100.0
 
 
-class TaskFleet:
+class SimulatedFleet:
     """All workers of a pool and the gangs that span them.
 
     :param truth: what each task really is
@@ -166,7 +166,7 @@
     :ivar stalled: nothing makes progress
     """
 
-    def __init__(self, fleet: TaskFleet, entry: WorkerEntry, speed: float) -> None:
+    def __init__(self, fleet: SimulatedFleet, entry: WorkerEntry, speed: float) -> None:
         self.entry = entry
         self.speed = speed
         self.alive = True
--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -27,7 +27,7 @@
     TaskName,
 )
 from bilberryhitch_planner import Planner, StartOrder, StopOutcome, WorkerEntry
-from bilberryhitch_standins.simulated_fleet import TaskFleet, TaskTruth
+from bilberryhitch_standins.simulated_fleet import SimulatedFleet, TaskTruth
 from loguru import logger
 
 TICK_S = 0.02
@@ -237,7 +237,7 @@
     def __init__(self, site: Deployment, seconds: float, seed: int) -> None:
         rng = random.Random(seed)
         self.jobs = {job.request.job: job for job in arrivals(site, seconds, rng)}
-        self.fleet = TaskFleet(self._truth)
+        self.fleet = SimulatedFleet(self._truth)
         self.planner = Planner(inherited_revision=0, inherited_until=0.0)
         guaranteed = int(0.62 * site.workers * site.capacity.gpu / site.accounts)
         accounts = {
--- a/tests/machines/world_point5_planner.py
+++ b/tests/machines/world_point5_planner.py
@@ -4,7 +4,7 @@
 from bilberryhitch_planner import EndKind, Planner, StartOrder, StartOutcome, StopOrder
 from bilberryhitch_planner.leader_election import WORKER_LEASE_HORIZON_S
 from bilberryhitch_planner.workers import CLOCK_DRIFT, LEASE_SLACK_S
-from bilberryhitch_standins.simulated_fleet import TaskFleet, TaskTruth
+from bilberryhitch_standins.simulated_fleet import SimulatedFleet, TaskTruth
 from bilberryhitch_testing.planner_world import UNIX, configuration, entry
 
 TURN_S = 0.1
@@ -46,7 +46,7 @@
         self.late_next = 0
         self.done = set()
         self.violations = []
-        self.fleet = TaskFleet(lambda task: self.truths[task.job])
+        self.fleet = SimulatedFleet(lambda task: self.truths[task.job])
         for number in range(workers):
             each = entry(f"w{number}", rack=f"r{number // 2}")
             self.fleet.add_worker(each)
