--- a/libs/standins/src/bilberryhitch_standins/simulated_fleet.py
+++ b/libs/standins/src/bilberryhitch_standins/simulated_fleet.py
@@ -48,7 +48,7 @@
 
 class _Run:
     def __init__(
-        self, worker: "ModelWorker", truth: TaskTruth, number: int, now: float
+        self, worker: "SimulatedWorker", truth: TaskTruth, number: int, now: float
     ) -> None:
         self.worker = worker
         self.truth = truth
@@ -76,7 +76,7 @@
         truth: Callable[[TaskName], TaskTruth],
         terms: WorkerTerms | None = None,
     ) -> None:
-        self.workers: dict[str, ModelWorker] = {}
+        self.workers: dict[str, SimulatedWorker] = {}
         self.overlaps: list[TaskName] = []
         self.overbooked: list[TaskName] = []
         self.wasted_core_s = 0.0
@@ -84,9 +84,9 @@
         self._terms = terms or WorkerTerms()
         self._gangs: dict[tuple[str, int, int, int], dict[int, _Run]] = {}
 
-    def add_worker(self, entry: WorkerEntry, speed: float = 1.0) -> "ModelWorker":
+    def add_worker(self, entry: WorkerEntry, speed: float = 1.0) -> "SimulatedWorker":
         """Start a worker."""
-        worker = ModelWorker(self, entry, speed)
+        worker = SimulatedWorker(self, entry, speed)
         self.workers[entry.worker] = worker
         return worker
 
@@ -158,7 +158,7 @@
             self._gangs.pop(key, None)
 
 
-class ModelWorker:
+class SimulatedWorker:
     """One incarnation of a worker.
 
     :ivar alive: false after a crash
