--- a/libs/standins/src/bilberryhitch_standins/simulated_fleet.py
+++ b/libs/standins/src/bilberryhitch_standins/simulated_fleet.py
@@ -18,7 +18,7 @@
 )
 
 
-class TaskTruth(NamedTuple):
+class TaskProfile(NamedTuple):
     """What a task really is.
 
     :param work_s: time that it needs on a worker of speed 1
@@ -48,7 +48,7 @@
 
 class _Run:
     def __init__(
-        self, worker: "SimulatedWorker", truth: TaskTruth, number: int, now: float
+        self, worker: "SimulatedWorker", truth: TaskProfile, number: int, now: float
     ) -> None:
         self.worker = worker
         self.truth = truth
@@ -73,7 +73,7 @@
 
     def __init__(
         self,
-        truth: Callable[[TaskName], TaskTruth],
+        truth: Callable[[TaskName], TaskProfile],
         terms: WorkerTerms | None = None,
     ) -> None:
         self.workers: dict[str, SimulatedWorker] = {}
@@ -97,7 +97,7 @@
         for key, members in list(self._gangs.items()):
             self._advance_gang(key, members, now)
 
-    def truth_of(self, task: TaskName) -> TaskTruth:
+    def truth_of(self, task: TaskName) -> TaskProfile:
         """Return what a task really is."""
         return self._truth(task)
 
--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -27,7 +27,7 @@
     TaskName,
 )
 from bilberryhitch_planner import Planner, StartOrder, StopOutcome, WorkerEntry
-from bilberryhitch_standins.simulated_fleet import SimulatedFleet, TaskTruth
+from bilberryhitch_standins.simulated_fleet import SimulatedFleet, TaskProfile
 from loguru import logger
 
 TICK_S = 0.02
@@ -81,7 +81,7 @@
     at: float
     kind: Kind
     request: JobRequest
-    truths: tuple[tuple[TaskTruth, ...], ...]
+    truths: tuple[tuple[TaskProfile, ...], ...]
     objective_s: float
     worth: float
 
@@ -203,7 +203,7 @@
                 gang=gang, same_rack=bound, saves_progress=saves,
             )
         )  # fmt: skip
-        truth = TaskTruth(
+        truth = TaskProfile(
             max(works),
             demand,
             gang_size=width if gang else 1,
@@ -279,7 +279,7 @@
             now += TICK_S
         return self._result()
 
-    def _truth(self, task: TaskName) -> TaskTruth:
+    def _truth(self, task: TaskName) -> TaskProfile:
         return self.jobs[task.job].truths[task.step][task.ordinal]
 
     def _submit(self, job: Job, now: float) -> None:
--- a/tests/machines/world_point5_planner.py
+++ b/tests/machines/world_point5_planner.py
@@ -4,7 +4,7 @@
 from bilberryhitch_planner import EndKind, Planner, StartOrder, StartOutcome, StopOrder
 from bilberryhitch_planner.leader_election import WORKER_LEASE_HORIZON_S
 from bilberryhitch_planner.workers import CLOCK_DRIFT, LEASE_SLACK_S
-from bilberryhitch_standins.simulated_fleet import SimulatedFleet, TaskTruth
+from bilberryhitch_standins.simulated_fleet import SimulatedFleet, TaskProfile
 from bilberryhitch_testing.planner_world import UNIX, configuration, entry
 
 TURN_S = 0.1
@@ -227,4 +227,4 @@
 
 def truth(work_s, demand, *, gang_size=1, save_s=0.0):
     """Return what the tasks of a job really are."""
-    return TaskTruth(work_s, demand, gang_size=gang_size, save_s=save_s)
+    return TaskProfile(work_s, demand, gang_size=gang_size, save_s=save_s)
--- a/tests/path/platform_deployment.py
+++ b/tests/path/platform_deployment.py
@@ -13,7 +13,7 @@
 import pytest
 from bilberryhitch_adapter_standins import FleetStandin, StoreStandin
 from bilberryhitch_jobs import Resources
-from bilberryhitch_standins.simulated_fleet import TaskTruth, WorkerTerms
+from bilberryhitch_standins.simulated_fleet import TaskProfile, WorkerTerms
 
 TERMS = WorkerTerms(stop_s=0.1)
 KEY = {"Authorization": "Token key-a", "Host": "jobs.example"}
@@ -55,7 +55,7 @@
         self.store = StoreStandin(rng)
         self.fleet = FleetStandin(
             self.store,
-            lambda task: TaskTruth(work_s, Resources(1000, 1000, 1), gang_size=1),
+            lambda task: TaskProfile(work_s, Resources(1000, 1000, 1), gang_size=1),
             rng,
             TERMS,
         )
