--- a/libs/standins/src/bilberryhitch_standins/simulated_fleet.py
+++ b/libs/standins/src/bilberryhitch_standins/simulated_fleet.py
@@ -24,23 +24,23 @@
     :param work_s: time that it needs on a worker of speed 1
     :param gang_size: tasks that work only together; 1 for a single task
     :param fails: it ends in failure
-    :param save_s: period of its checkpoints; 0 if it makes none
+    :param checkpoint_period_s: period of its checkpoints; 0 if it makes none
     """
 
     work_s: float
     demand: Resources = Resources()
     gang_size: int = 1
     fails: bool = False
-    save_s: float = 0.0
+    checkpoint_period_s: float = 0.0
     same_rack: bool = False
     data_rack: str = ""
 
 
-class WorkerTerms(NamedTuple):
+class WorkerParameters(NamedTuple):
     """Bounds of the platform, in seconds."""
 
     hold_max_s: float = 10.0
-    stop_s: float = 0.4
+    stop_duration_s: float = 0.4
     gang_s: float = 3.0
     restore_s: float = 0.1
     away_factor: float = 3.0
@@ -67,21 +67,21 @@
     """All workers of a pool and the gangs that span them.
 
     :param truth: what each task really is
-    :ivar overlaps: tasks that were seen to run twice at a time
-    :ivar overbooked: starts that brought a worker over its capacity
+    :ivar duplicate_runs: tasks that were seen to run twice at a time
+    :ivar overcommitted: starts that brought a worker over its capacity
     """
 
     def __init__(
         self,
         truth: Callable[[TaskName], TaskProfile],
-        terms: WorkerTerms | None = None,
+        terms: WorkerParameters | None = None,
     ) -> None:
         self.workers: dict[str, SimulatedWorker] = {}
-        self.overlaps: list[TaskName] = []
-        self.overbooked: list[TaskName] = []
+        self.duplicate_runs: list[TaskName] = []
+        self.overcommitted: list[TaskName] = []
         self.wasted_core_s = 0.0
         self._truth = truth
-        self._terms = terms or WorkerTerms()
+        self._terms = terms or WorkerParameters()
         self._gangs: dict[tuple[str, int, int, int], dict[int, _Run]] = {}
 
     def add_worker(self, entry: WorkerEntry, speed: float = 1.0) -> "SimulatedWorker":
@@ -102,7 +102,7 @@
         return self._truth(task)
 
     @property
-    def terms(self) -> WorkerTerms:
+    def terms(self) -> WorkerParameters:
         """Bounds of the platform."""
         return self._terms
 
@@ -111,7 +111,7 @@
         task = run.task
         for worker in self.workers.values():
             if worker.alive and worker.runs_task(task, besides=run):
-                self.overlaps.append(task)
+                self.duplicate_runs.append(task)
         if run.truth.gang_size > 1:
             key = (task.job, task.occurrence, task.step, run.number)
             self._gangs.setdefault(key, {})[task.ordinal] = run
@@ -224,7 +224,7 @@
         run.saved_s = run.done_s = float(saved or 0)
         self._runs[task] = run
         if not self._used().fits(self.entry.capacity):
-            self._fleet.overbooked.append(task)
+            self._fleet.overcommitted.append(task)
         self._fleet.join(run)
         return StartOutcome.STARTED
 
@@ -237,7 +237,7 @@
         self._barred[task] = max(number, self._barred.get(task, 0))
         run = self._runs.get(task)
         if run is not None and run.number <= number and run.stop_at is None:
-            run.stop_at = now + self._fleet.terms.stop_s
+            run.stop_at = now + self._fleet.terms.stop_duration_s
         return StopOutcome.STOPPED
 
     def hold(
@@ -288,7 +288,7 @@
         self._barred[run.task] = max(run.number, self._barred.get(run.task, 0))
         if how is not EndKind.DONE:
             kept = run.done_s if how is EndKind.STOPPED else run.saved_s
-            lost = run.done_s - (kept if run.truth.save_s else 0.0)
+            lost = run.done_s - (kept if run.truth.checkpoint_period_s else 0.0)
             demand = run.truth.demand
             self._fleet.wasted_core_s += lost * (demand.cpu / 1000 + 8 * demand.gpu)
         if self.alive:
@@ -300,8 +300,8 @@
         if self.stalled or not self._fleet.complete(run):
             return
         run.done_s += passed * self.speed / self._fleet.factor(run)
-        if run.truth.save_s:
-            run.saved_s = run.done_s - run.done_s % run.truth.save_s
+        if run.truth.checkpoint_period_s:
+            run.saved_s = run.done_s - run.done_s % run.truth.checkpoint_period_s
         if self.fails_all and run.done_s > 0.1 * run.truth.work_s:
             self._fleet.end(run, EndKind.FAILED, now)
         elif run.done_s >= run.truth.work_s:
@@ -327,7 +327,7 @@
         return used
 
     def _checkpoint(self, run: _Run, *, stopped: bool = False) -> str:
-        if not run.truth.save_s:
+        if not run.truth.checkpoint_period_s:
             return ""
         value = run.done_s if stopped else run.saved_s
         return f"{value:.3f}" if value else ""
--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -207,7 +207,7 @@
             max(works),
             demand,
             gang_size=width if gang else 1,
-            save_s=site.save_s if saves else 0.0,
+            checkpoint_period_s=site.save_s if saves else 0.0,
             same_rack=bound,
         )
         truths.append(
@@ -356,7 +356,7 @@
             in_time / len(self.jobs),
             late / len(self.jobs),
             self.fleet.wasted_core_s,
-            len(self.fleet.overlaps) + len(self.fleet.overbooked),
+            len(self.fleet.duplicate_runs) + len(self.fleet.overcommitted),
         )
 
     def _credit(self, name: str, job: Job) -> float:
--- a/tests/machines/world_point5_planner.py
+++ b/tests/machines/world_point5_planner.py
@@ -92,8 +92,8 @@
         for holder in (self.former, self.leader):
             if holder is not None and not holder.fenced:
                 self._act(holder)
-        self.violations += [f"{task} overlaps" for task in self.fleet.overlaps]
-        self.violations += [f"{task} has no room" for task in self.fleet.overbooked]
+        self.violations += [f"{task} overlaps" for task in self.fleet.duplicate_runs]
+        self.violations += [f"{task} has no room" for task in self.fleet.overcommitted]
         assert not self.violations, self.violations
 
     def crash(self, name):
@@ -227,4 +227,4 @@
 
 def truth(work_s, demand, *, gang_size=1, save_s=0.0):
     """Return what the tasks of a job really are."""
-    return TaskProfile(work_s, demand, gang_size=gang_size, save_s=save_s)
+    return TaskProfile(work_s, demand, gang_size=gang_size, checkpoint_period_s=save_s)
--- a/tests/path/platform_deployment.py
+++ b/tests/path/platform_deployment.py
@@ -13,9 +13,9 @@
 import pytest
 from bilberryhitch_adapter_standins import FleetStandin, StoreStandin
 from bilberryhitch_jobs import Resources
-from bilberryhitch_standins.simulated_fleet import TaskProfile, WorkerTerms
+from bilberryhitch_standins.simulated_fleet import TaskProfile, WorkerParameters
 
-TERMS = WorkerTerms(stop_s=0.1)
+TERMS = WorkerParameters(stop_duration_s=0.1)
 KEY = {"Authorization": "Token key-a", "Host": "jobs.example"}
 CONFIGURATION = {
     "version": 1,
--- a/tests/path/test_platform_path.py
+++ b/tests/path/test_platform_path.py
@@ -12,8 +12,8 @@
         try:
             await deployment.start(**sizes)
             await scene(deployment)
-            assert deployment.fleet.fleet.overlaps == []
-            assert deployment.fleet.fleet.overbooked == []
+            assert deployment.fleet.fleet.duplicate_runs == []
+            assert deployment.fleet.fleet.overcommitted == []
         finally:
             await deployment.close()
 
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -255,8 +255,10 @@
 
     def _check(self) -> None:
         fleet = self._deployment.fleet.fleet
-        self.violations += [f"{_text(task)} ran twice" for task in fleet.overlaps]
-        self.violations += [f"{_text(task)} had no room" for task in fleet.overbooked]
+        self.violations += [f"{_text(task)} ran twice" for task in fleet.duplicate_runs]
+        self.violations += [
+            f"{_text(task)} had no room" for task in fleet.overcommitted
+        ]
         known = self._deployment.store.rows("jobs")
         self.violations += [
             f"{name} was refused and is stored"
