--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -18,7 +18,7 @@
     StopOrder,
     StopOutcome,
 )
-from bilberryhitch_testing.planner_world import (
+from bilberryhitch_testing.planner_harness import (
     UNIX,
     World,
     ended,
--- a/libs/planner/tests/test_reservations.py
+++ b/libs/planner/tests/test_reservations.py
@@ -2,7 +2,7 @@
 
 from bilberryhitch_planner import EndKind
 from bilberryhitch_planner.reservations import MAX_RESERVED_POOL_SHARE
-from bilberryhitch_testing.planner_world import (
+from bilberryhitch_testing.planner_harness import (
     World,
     ended,
     entry,
--- a/libs/planner/tests/test_throttling.py
+++ b/libs/planner/tests/test_throttling.py
@@ -3,7 +3,7 @@
 import pytest
 from bilberryhitch_planner import RunningTask
 from bilberryhitch_planner.reports import ThrottleOrder
-from bilberryhitch_testing.planner_world import World, entry, queue, request, step
+from bilberryhitch_testing.planner_harness import World, entry, queue, request, step
 
 TARGET_S = 0.2
 
--- a/libs/planner/tests/test_upkeep.py
+++ b/libs/planner/tests/test_upkeep.py
@@ -9,7 +9,7 @@
 from bilberryhitch_planner import Machine, UpkeepOutcome, Wave, WorkerFenced
 from bilberryhitch_planner.upkeep import UpkeepController, WaveState, takedown_cost
 from bilberryhitch_testing import run_virtual
-from bilberryhitch_testing.planner_world import World, entry, queue, request, step
+from bilberryhitch_testing.planner_harness import World, entry, queue, request, step
 
 
 def listed(*names, down=()):
--- a/tests/machines/test_point5_planner.py
+++ b/tests/machines/test_point5_planner.py
@@ -3,7 +3,7 @@
 import pytest
 from bilberryhitch_jobs import JobState
 from bilberryhitch_planner import Planner
-from bilberryhitch_testing.planner_world import queue, request, step
+from bilberryhitch_testing.planner_harness import queue, request, step
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
--- a/tests/machines/world_point5_planner.py
+++ b/tests/machines/world_point5_planner.py
@@ -5,7 +5,7 @@
 from bilberryhitch_planner.leader_election import WORKER_LEASE_HORIZON_S
 from bilberryhitch_planner.workers import CLOCK_DRIFT, LEASE_SLACK_S
 from bilberryhitch_standins.simulated_fleet import SimulatedFleet, TaskProfile
-from bilberryhitch_testing.planner_world import UNIX, configuration, entry
+from bilberryhitch_testing.planner_harness import UNIX, configuration, entry
 
 TURN_S = 0.1
 LEASE_S = 10.0
