--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -20,7 +20,7 @@
 )
 from bilberryhitch_testing.planner_harness import (
     UNIX,
-    World,
+    PlannerHarness,
     ended,
     entry,
     queue,
@@ -31,7 +31,7 @@
 
 
 def test_a_job_is_started_and_completed_by_its_ends():
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(2), step(1, depends_on=(0,))))
     first = world.starts()
@@ -50,14 +50,14 @@
 
 def test_nothing_starts_on_a_worker_that_has_not_listed_its_runs():
     """Guards against a second run of what an earlier planner has started."""
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.add(request("j", step()))
     assert world.starts() == []
 
 
 def test_an_inherited_task_waits_for_workers_that_cannot_be_asked():
     """Guards against a second run of a task behind a cut after a takeover."""
-    world = World(entry("w1"), entry("w2"), inherited=200, until=12.0)
+    world = PlannerHarness(entry("w1"), entry("w2"), inherited=200, until=12.0)
     world.report("w1")
     world.add(request("j", step()))
     assert world.starts() == []
@@ -67,7 +67,7 @@
 
 
 def test_a_new_job_does_not_wait_for_workers_that_cannot_be_asked():
-    world = World(entry("w1"), entry("w2"), inherited=50, until=12.0)
+    world = PlannerHarness(entry("w1"), entry("w2"), inherited=50, until=12.0)
     world.report("w1")
     world.add(request("j", step()))
     assert len(world.starts()) == 1
@@ -77,7 +77,7 @@
     """Guards against TWICE of hunt-f18c-23: a deposed planner still read the feed
     and started a job that its successor took for new.
     """
-    world = World(entry("w1"), inherited=50)
+    world = PlannerHarness(entry("w1"), inherited=50)
     world.report("w1")
     fresh = JobProgress(JobState.PENDING, "a", {})
     job = request("j", step())
@@ -93,7 +93,7 @@
 
 def test_an_inherited_gang_waits_for_a_member_behind_a_cut():
     """Guards against TWICE of 2026-12-04: the members that were seen had ended."""
-    world = World(entry("w1"), entry("w2"), inherited=200, until=12.0)
+    world = PlannerHarness(entry("w1"), entry("w2"), inherited=200, until=12.0)
     world.add(request("j", step(2, gpu=8, gang=True)))
     seen = TaskName("j", 0, 0, 0)
     world.report("w1", running=[RunningTask(seen, 1, "", 5.0)])
@@ -110,7 +110,9 @@
 
 
 def test_an_inherited_gang_that_was_seen_whole_starts_again_at_once():
-    world = World(entry("w1"), entry("w2"), entry("w3"), inherited=200, until=12.0)
+    world = PlannerHarness(
+        entry("w1"), entry("w2"), entry("w3"), inherited=200, until=12.0
+    )
     world.add(request("j", step(2, gpu=8, gang=True)))
     for ordinal, name in enumerate(("w1", "w2")):
         world.report(
@@ -125,7 +127,7 @@
 
 def test_a_run_that_may_exist_holds_its_room():
     """Guards against LIMIT: an unanswered start may be carried out late."""
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(gpu=8)))
     (order,) = world.starts()
@@ -139,7 +141,7 @@
 
 
 def test_a_stopped_run_frees_its_room_with_the_first_listing_without_it():
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(gpu=8)))
     (order,) = world.starts()
@@ -154,7 +156,7 @@
 
 
 def test_runs_of_an_unreachable_worker_are_released_after_its_lease():
-    world = World(entry("w1"), entry("w2"))
+    world = PlannerHarness(entry("w1"), entry("w2"))
     for name in ("w1", "w2"):
         world.report(name)
     world.add(request("j", step(gpu=8)))
@@ -172,7 +174,7 @@
 
 
 def test_a_worker_born_again_has_lost_its_runs():
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.report("w1", born=1)
     world.add(request("j", step()))
     (order,) = world.starts()
@@ -185,7 +187,7 @@
 
 def test_attempts_are_counted_once_over_a_takeover():
     """Guards against BUDGET and a false failure: an end may be listed again."""
-    world = World(entry("w1"), inherited=200, until=0.0)
+    world = PlannerHarness(entry("w1"), inherited=200, until=0.0)
     progress = JobProgress(
         JobState.RUNNING, "a", {(0, 0, 0): UnitProgress(False, 1, (1,))}
     )
@@ -203,7 +205,7 @@
 
 def test_a_failing_worker_is_used_for_a_gang_when_there_is_no_other():
     """Guards against RECLAIM: one failure barred a worker from gangs for ever."""
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(gang=True), route=queue("batch", 2, attempts=5)))
     (order,) = world.starts()
@@ -215,7 +217,7 @@
 
 
 def test_a_worker_that_fails_everything_is_left_alone():
-    world = World(entry("w1"), entry("w2"))
+    world = PlannerHarness(entry("w1"), entry("w2"))
     for name in ("w1", "w2"):
         world.report(name)
     world.add(request("j", step(), route=queue("batch", 2, attempts=9)))
@@ -232,7 +234,7 @@
 
 def test_an_urgent_job_within_its_guarantee_evicts_batch_work():
     """Guards against RECLAIM: the pool is full of borrowers."""
-    world = World(entry("w1"), guaranteed=8)
+    world = PlannerHarness(entry("w1"), guaranteed=8)
     world.report("w1")
     world.add(request("batch", step(gpu=8), route=queue("batch", 2), account="b"))
     (batch,) = world.starts()
@@ -250,7 +252,7 @@
 
 
 def test_an_urgent_job_beyond_its_guarantee_evicts_nothing():
-    world = World(entry("w1"), guaranteed=4)
+    world = PlannerHarness(entry("w1"), guaranteed=4)
     world.report("w1")
     world.add(request("batch", step(gpu=8), route=queue("batch", 2), account="b"))
     (batch,) = world.starts()
@@ -263,7 +265,7 @@
 
 def test_room_that_did_not_come_free_is_sought_anew():
     """Guards against RECLAIM: room was kept for ever on a worker that had left."""
-    world = World(entry("w1"), entry("w2"), guaranteed=8)
+    world = PlannerHarness(entry("w1"), entry("w2"), guaranteed=8)
     for name in ("w1", "w2"):
         world.report(name)
     for name in ("b1", "b2"):
@@ -283,7 +285,7 @@
 
 
 def test_a_scheduled_job_does_not_start_before_its_time():
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(), schedule=Schedule(2, UNIX + 5, 3.0)))
     world.now = 4.9
@@ -297,7 +299,7 @@
 
 
 def test_a_cancelled_job_is_stopped_and_stays_cancelled():
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step()))
     (order,) = world.starts()
@@ -310,14 +312,14 @@
 
 def test_a_run_nobody_needs_is_stopped():
     """Guards against UNASKED: a late order started a task of a cancelled job."""
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     task = TaskName("gone", 0, 0, 0)
     world.report("w1", running=[RunningTask(task, 3, "", 1.0)])
     assert world.plan() == [StopOrder("w1", task, 3)]
 
 
 def test_a_run_without_progress_is_stopped_and_starts_elsewhere():
-    world = World(entry("w1"), entry("w2"))
+    world = PlannerHarness(entry("w1"), entry("w2"))
     for name in ("w1", "w2"):
         world.report(name)
     world.add(request("j", step()))
@@ -338,7 +340,7 @@
     """Load: workers that hang for six seconds under urgent gangs (trouble-3 of the
     grown agency); each gang waited until the disturbance was over.
     """
-    world = World(entry("w1"), entry("w2"), entry("w3"), entry("w4"))
+    world = PlannerHarness(entry("w1"), entry("w2"), entry("w3"), entry("w4"))
     world.report_all()
     world.add(request("j", step(2, gpu=8, gang=True)))
     sound, hung = world.start_all()
@@ -362,7 +364,7 @@
     agency); each urgent gang with a member there had to start again.
     """
     flapping = entry("w1", address="ip:9")
-    world = World(flapping, entry("w2"))
+    world = PlannerHarness(flapping, entry("w2"))
     world.report_all()
     world.planner.worker_gone("w1", now=0.0, unix_s=UNIX)
     world.now = 1.0
@@ -384,7 +386,7 @@
     """Load: the store is away for longer than the leases on workers last; each start
     was refused as too late, again and again.
     """
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step()))
     world.planner.stored_roster = frozenset({"w1"})
@@ -396,7 +398,7 @@
     """Calm grown day: uneven gangs on workers of unlike speed were stopped close to
     their end, and four starts in a row threw away 20 workers' work.
     """
-    world = World(entry("w1"), entry("w2"))
+    world = PlannerHarness(entry("w1"), entry("w2"))
     for name in ("w1", "w2"):
         world.report(name)
     world.add(request("j", step(2, gpu=8, gang=True)))
@@ -411,7 +413,7 @@
 
 
 def test_a_lasting_task_starts_again_however_it_ends():
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(long_running=True)))
     for sequence, how in enumerate([EndKind.DONE, EndKind.FAILED, EndKind.FAILED], 1):
@@ -426,7 +428,7 @@
 
 def test_members_of_a_rack_bound_gang_share_a_rack():
     workers = [entry(f"w{number}", f"r{number % 2}") for number in range(4)]
-    world = World(*workers)
+    world = PlannerHarness(*workers)
     for each in workers:
         world.report(each.worker)
     world.add(request("j", step(2, gpu=8, gang=True, same_rack=True)))
@@ -435,7 +437,7 @@
 
 
 def test_tasks_spread_as_far_as_asked():
-    world = World(entry("w1"), entry("w2"))
+    world = PlannerHarness(entry("w1"), entry("w2"))
     for name in ("w1", "w2"):
         world.report(name)
     world.add(request("j", step(4, max_tasks_per_worker=1)))
@@ -443,7 +445,7 @@
 
 
 def test_progress_names_gangs_by_one_record():
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(2, gang=True)))
     for order in world.starts():
@@ -456,7 +458,7 @@
     """Guards against LIMIT of hunt-d7e2-31: a planner that took over counted the
     runs of a cancelled job as nothing.
     """
-    world = World(entry("w1"), inherited=200)
+    world = PlannerHarness(entry("w1"), inherited=200)
     world.add(
         request("gone", step(gpu=8)), JobProgress(JobState.CANCELLED, "a", {}, UNIX)
     )
@@ -466,7 +468,7 @@
 
 
 def test_a_run_of_an_unknown_job_is_taken_to_fill_its_worker():
-    world = World(entry("w1"), inherited=200)
+    world = PlannerHarness(entry("w1"), inherited=200)
     world.report("w1", running=[RunningTask(TaskName("gone", 0, 0, 0), 1, "", 5.0)])
     world.add(request("j", step()))
     assert world.starts() == []
@@ -476,7 +478,7 @@
     """Guards against BUDGET of grown mlac trouble-1: at a takeover one member was
     adopted as running before the other's failure was listed.
     """
-    world = World(entry("w1"), entry("w2"), inherited=200)
+    world = PlannerHarness(entry("w1"), entry("w2"), inherited=200)
     progress = JobProgress(
         JobState.RUNNING, "a", {(0, 0, GANG_INDEX): UnitProgress(False, 1, (1,))}
     )
@@ -490,7 +492,7 @@
     """Guards against TWICE 13 of mix 493721912419 (mlac): the worker's entry had
     lapsed behind a cut, and the earlier planner was cut off from the store.
     """
-    world = World(entry("w1"), inherited=200, until=12.0)
+    world = PlannerHarness(entry("w1"), inherited=200, until=12.0)
     world.planner.add_unregistered_worker("w2", now=0.0)
     world.report("w1")
     world.add(request("j", step()))
@@ -500,7 +502,7 @@
 
 
 def test_a_worker_is_used_only_after_a_later_planner_would_ask_it():
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step()))
     assert world.planner.roster_outdated
@@ -511,7 +513,7 @@
     """Load: more urgent gangs than the pool holds; first come first served made
     each of them a little late instead of some of them.
     """
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("late", step(gpu=8, gang=True), route=queue("batch", 2)))
     world.now = 60.0
@@ -522,7 +524,7 @@
 
 
 def test_the_least_slack_goes_first_within_a_priority():
-    world = World(entry("w1"))
+    world = PlannerHarness(entry("w1"))
     world.report("w1")
     long = step(gpu=8, gang=True)._replace(estimate_s=20.0)
     world.add(request("long", long, route=queue("batch", 2)))
@@ -535,7 +537,7 @@
     throws others' work away.
     """
     workers = [entry(f"w{number}") for number in range(8)]
-    world = World(*workers)
+    world = PlannerHarness(*workers)
     for each in workers:
         world.report(each.worker)
     batch = queue("batch", 2)
@@ -550,7 +552,7 @@
 def test_a_slowed_worker_is_found_by_comparison_and_used_last():
     """Load: one slowed worker holds up every gang that it has a member of."""
     workers = [entry(f"w{number}") for number in range(4)]
-    world = World(*workers)
+    world = PlannerHarness(*workers)
     for each in workers:
         world.report(each.worker)
     world.add(request("j", step(4, gpu=8, gang=True)))
@@ -573,7 +575,7 @@
 
 def test_a_step_that_needs_permission_is_asked_for_and_carries_its_ticket():
     """Guards against starts that every worker of such a queue rejects."""
-    world = World(entry("w1"), entry("w2"))
+    world = PlannerHarness(entry("w1"), entry("w2"))
     for name in ("w1", "w2"):
         world.report(name)
     advised = queue("advised", 1)._replace(advice=AdvicePolicy(0.05, 0.01, 3.0))
@@ -597,7 +599,7 @@
     look too small, so that it ran across racks at a third of its speed.
     """
     workers = [entry(f"w{number}", f"r{number // 4}") for number in range(16)]
-    world = World(*workers)
+    world = PlannerHarness(*workers)
     for each in workers:
         world.report(each.worker)
     batch = queue("batch", 2)
@@ -613,7 +615,7 @@
     three times as long, and anjo-motions lost a tenth of its worth.
     """
     workers = [entry(f"w{number}", f"r{number // 4}") for number in range(16)]
-    world = World(*workers)
+    world = PlannerHarness(*workers)
     for each in workers:
         world.report(each.worker)
     pinned = [step(gpu=1)._replace(data_rack=f"r{rack}") for rack in range(4)]
@@ -630,7 +632,7 @@
 def test_a_guaranteed_gang_takes_two_racks_when_none_can_be_cleared():
     """Guards against RECLAIM: room made across racks was never used."""
     workers = [entry(f"w{number}", f"r{number // 2}") for number in range(4)]
-    world = World(*workers, guaranteed=16)
+    world = PlannerHarness(*workers, guaranteed=16)
     for each in workers:
         world.report(each.worker)
     lasting = [
--- a/libs/planner/tests/test_reservations.py
+++ b/libs/planner/tests/test_reservations.py
@@ -3,7 +3,7 @@
 from bilberryhitch_planner import EndKind
 from bilberryhitch_planner.reservations import MAX_RESERVED_POOL_SHARE
 from bilberryhitch_testing.planner_harness import (
-    World,
+    PlannerHarness,
     ended,
     entry,
     queue,
@@ -17,7 +17,7 @@
 
 
 def rack(count):
-    world = World(*(entry(f"w{number}") for number in range(count)))
+    world = PlannerHarness(*(entry(f"w{number}") for number in range(count)))
     for name in world.planner.workers:
         world.report(name)
     return world
@@ -103,7 +103,7 @@
     """Guards against RECLAIM: an urgent gang beyond its account's guarantee reserved
     what became free, and one within its guarantee waited behind it.
     """
-    world = World(*(entry(f"w{number}") for number in range(4)), guaranteed=8)
+    world = PlannerHarness(*(entry(f"w{number}") for number in range(4)), guaranteed=8)
     world.report_all()
     world.add(request("filler", step(4, gpu=8), route=queue(), account="b"))
     at_work = world.start_all()
--- a/libs/planner/tests/test_throttling.py
+++ b/libs/planner/tests/test_throttling.py
@@ -3,12 +3,18 @@
 import pytest
 from bilberryhitch_planner import RunningTask
 from bilberryhitch_planner.reports import ThrottleOrder
-from bilberryhitch_testing.planner_harness import World, entry, queue, request, step
+from bilberryhitch_testing.planner_harness import (
+    PlannerHarness,
+    entry,
+    queue,
+    request,
+    step,
+)
 
 TARGET_S = 0.2
 
 
-class Shared(World):
+class Shared(PlannerHarness):
     """One worker with a serving and a filling task."""
 
     def __init__(self):
--- a/libs/planner/tests/test_upkeep.py
+++ b/libs/planner/tests/test_upkeep.py
@@ -9,7 +9,13 @@
 from bilberryhitch_planner import Machine, UpkeepOutcome, Wave, WorkerFenced
 from bilberryhitch_planner.upkeep import UpkeepController, WaveState, takedown_cost
 from bilberryhitch_testing import run_virtual
-from bilberryhitch_testing.planner_harness import World, entry, queue, request, step
+from bilberryhitch_testing.planner_harness import (
+    PlannerHarness,
+    entry,
+    queue,
+    request,
+    step,
+)
 
 
 def listed(*names, down=()):
@@ -74,7 +80,7 @@
 
 def test_a_lasting_step_keeps_the_tasks_that_it_may_not_miss():
     """Guards against AVAIL: two tasks of one step on machines of one wave."""
-    world = World(entry("w1"), entry("w2"), entry("w3"))
+    world = PlannerHarness(entry("w1"), entry("w2"), entry("w3"))
     world.report_all()
     lasting = step(3, gpu=8, long_running=True, max_unavailable=1)
     world.add(request("serving", lasting, route=queue("batch", 2)))
@@ -167,7 +173,7 @@
 @pytest.mark.parametrize("lost", [0, 2])
 def test_a_wave_is_carried_out_one_machine_at_a_time(lost):
     async def scene():
-        world, notes = World(entry("i-a"), entry("i-b"), entry("i-c")), Notes()
+        world, notes = PlannerHarness(entry("i-a"), entry("i-b"), entry("i-c")), Notes()
         calls = Calls("abc", lost)
         running = asyncio.create_task(upkeep(calls, notes, world).run())
         await asyncio.sleep(1.2)
@@ -187,7 +193,7 @@
     """Guards against a tenure that ends because one read failed."""
 
     async def scene():
-        world, notes = World(entry("i-a")), Notes()
+        world, notes = PlannerHarness(entry("i-a")), Notes()
         calls = Calls("abc")
         running = asyncio.create_task(upkeep(calls, notes, world, failures=2).run())
         await asyncio.sleep(30)
@@ -201,7 +207,7 @@
     """Guards against ONE: two holders that order one machine in turn."""
 
     async def scene():
-        world, notes = World(entry("i-a")), Notes()
+        world, notes = PlannerHarness(entry("i-a")), Notes()
         calls = Calls("abc")
         notes.lease_is_fresh = False
         running = asyncio.create_task(upkeep(calls, notes, world).run())
--- a/libs/testing/src/bilberryhitch_testing/planner_harness.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_harness.py
@@ -78,7 +78,7 @@
     return plain._replace(**changes)
 
 
-class World:
+class PlannerHarness:
     """A planner with reported workers; ``now`` is moved by the test."""
 
     def __init__(
