--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -19,7 +19,7 @@
     StopOutcome,
 )
 from bilberryhitch_testing.planner_harness import (
-    UNIX,
+    START_UNIX_S,
     PlannerHarness,
     ended,
     entry,
@@ -81,7 +81,7 @@
     world.report("w1")
     fresh = JobProgress(JobState.PENDING, "a", {})
     job = request("j", step())
-    world.planner.add_job(job, fresh, 60, now=0.0, unix_s=UNIX)
+    world.planner.add_job(job, fresh, 60, now=0.0, unix_s=START_UNIX_S)
     assert world.planner.has_unconfirmed_jobs
     assert world.starts() == []
     world.planner.confirm(59)
@@ -287,7 +287,7 @@
 def test_a_scheduled_job_does_not_start_before_its_time():
     world = PlannerHarness(entry("w1"))
     world.report("w1")
-    world.add(request("j", step(), schedule=Schedule(2, UNIX + 5, 3.0)))
+    world.add(request("j", step(), schedule=Schedule(2, START_UNIX_S + 5, 3.0)))
     world.now = 4.9
     world.report("w1")
     assert world.starts() == []
@@ -304,7 +304,7 @@
     world.add(request("j", step()))
     (order,) = world.starts()
     world.answer(order)
-    world.planner.cancel_job("j", unix_s=UNIX)
+    world.planner.cancel_job("j", unix_s=START_UNIX_S)
     assert world.plan() == [StopOrder("w1", order.task, 1)]
     world.report("w1", ended=[ended(order)])
     assert world.state("j") is JobState.CANCELLED
@@ -366,7 +366,7 @@
     flapping = entry("w1", address="ip:9")
     world = PlannerHarness(flapping, entry("w2"))
     world.report_all()
-    world.planner.worker_gone("w1", now=0.0, unix_s=UNIX)
+    world.planner.worker_gone("w1", now=0.0, unix_s=START_UNIX_S)
     world.now = 1.0
     world.planner.add_worker(flapping._replace(worker="w1b"), now=world.now)
     world.report("w1b")
@@ -390,7 +390,7 @@
     world.report("w1")
     world.add(request("j", step()))
     world.planner.stored_roster = frozenset({"w1"})
-    assert world.planner.plan(now=0.0, unix_s=UNIX, may_start=False) == []
+    assert world.planner.plan(now=0.0, unix_s=START_UNIX_S, may_start=False) == []
     assert len(world.starts()) == 1
 
 
@@ -460,7 +460,8 @@
     """
     world = PlannerHarness(entry("w1"), inherited=200)
     world.add(
-        request("gone", step(gpu=8)), JobProgress(JobState.CANCELLED, "a", {}, UNIX)
+        request("gone", step(gpu=8)),
+        JobProgress(JobState.CANCELLED, "a", {}, START_UNIX_S),
     )
     world.report("w1", running=[RunningTask(TaskName("gone", 0, 0, 0), 1, "", 5.0)])
     world.add(request("j", step()))
@@ -497,7 +498,7 @@
     world.report("w1")
     world.add(request("j", step()))
     assert world.starts() == []
-    world.planner.worker_gone("w2", now=0.0, unix_s=UNIX)
+    world.planner.worker_gone("w2", now=0.0, unix_s=START_UNIX_S)
     assert len(world.starts()) == 1
 
 
@@ -506,7 +507,7 @@
     world.report("w1")
     world.add(request("j", step()))
     assert world.planner.roster_outdated
-    assert world.planner.plan(now=0.0, unix_s=UNIX) == []
+    assert world.planner.plan(now=0.0, unix_s=START_UNIX_S) == []
 
 
 def test_work_that_can_still_be_in_time_goes_before_work_that_is_late():
--- a/libs/testing/src/bilberryhitch_testing/planner_harness.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_harness.py
@@ -27,7 +27,7 @@
 )
 from bilberryhitch_planner.reports import Order
 
-UNIX = 1_000_000.0
+START_UNIX_S = 1_000_000.0
 CAPACITY = Resources(32_000, 64_000, 8)
 LEASE_S = 10.0
 
@@ -67,7 +67,9 @@
     schedule: Schedule | None = None,
 ) -> JobRequest:
     """Return an accepted job."""
-    return JobRequest(job, route or queue(), account, "spec", steps, UNIX, schedule)
+    return JobRequest(
+        job, route or queue(), account, "spec", steps, START_UNIX_S, schedule
+    )
 
 
 def entry(name: str, rack: str = "r1", **changes: Any) -> WorkerEntry:
@@ -104,7 +106,7 @@
         progress = progress or JobProgress(JobState.PENDING, job.account, {})
         self.planner.confirm(revision)
         self.planner.add_job(
-            job, progress, revision, now=self.now, unix_s=UNIX + self.now
+            job, progress, revision, now=self.now, unix_s=START_UNIX_S + self.now
         )
 
     def report(
@@ -120,7 +122,7 @@
             HeartbeatReply(self.now, born, tuple(running), tuple(ended)),
             sent_at=self.now,
             now=self.now,
-            unix_s=UNIX + self.now,
+            unix_s=START_UNIX_S + self.now,
         )
         held = self.planner.workers.get(worker)
         if held is not None:
@@ -138,8 +140,8 @@
     def plan(self) -> list[Order]:
         """Return the orders of one round."""
         self.planner.stored_roster = frozenset(self.planner.workers)
-        self.planner.tick(now=self.now, unix_s=UNIX + self.now)
-        return self.planner.plan(now=self.now, unix_s=UNIX + self.now)
+        self.planner.tick(now=self.now, unix_s=START_UNIX_S + self.now)
+        return self.planner.plan(now=self.now, unix_s=START_UNIX_S + self.now)
 
     def starts(self) -> list[StartOrder]:
         """Return the starts of one round."""
@@ -160,7 +162,11 @@
     ) -> None:
         """Answer a start."""
         self.planner.apply_start_outcome(
-            order, outcome, certain=certain, now=self.now, unix_s=UNIX + self.now
+            order,
+            outcome,
+            certain=certain,
+            now=self.now,
+            unix_s=START_UNIX_S + self.now,
         )
 
     def state(self, job: str) -> JobState:
--- a/tests/machines/world_point5_planner.py
+++ b/tests/machines/world_point5_planner.py
@@ -5,7 +5,7 @@
 from bilberryhitch_planner.leader_election import WORKER_LEASE_HORIZON_S
 from bilberryhitch_planner.workers import CLOCK_DRIFT, LEASE_SLACK_S
 from bilberryhitch_standins.simulated_fleet import SimulatedFleet, TaskProfile
-from bilberryhitch_testing.planner_harness import UNIX, configuration, entry
+from bilberryhitch_testing.planner_harness import START_UNIX_S, configuration, entry
 
 TURN_S = 0.1
 LEASE_S = 10.0
@@ -101,7 +101,9 @@
         self.fleet.workers[name].crash()
         for holder in (self.leader, self.former):
             if holder is not None:
-                holder.planner.worker_gone(name, now=self.now, unix_s=UNIX + self.now)
+                holder.planner.worker_gone(
+                    name, now=self.now, unix_s=START_UNIX_S + self.now
+                )
 
     def _tell(self, holder, name):
         request, revision = self.requests[name]
@@ -111,7 +113,7 @@
             self.progress.get(name, fresh),
             revision,
             now=self.now,
-            unix_s=UNIX + self.now,
+            unix_s=START_UNIX_S + self.now,
         )
 
     def _act(self, holder):
@@ -120,10 +122,10 @@
                 self._look(holder, name)
         self._store(holder)
         planner = holder.planner
-        planner.tick(now=self.now, unix_s=UNIX + self.now)
+        planner.tick(now=self.now, unix_s=START_UNIX_S + self.now)
         for order in planner.plan(
             now=self.now,
-            unix_s=UNIX + self.now,
+            unix_s=START_UNIX_S + self.now,
             may_start=holder.limit - self.now > 1.5,
         ):
             if isinstance(order, StartOrder):
@@ -162,7 +164,7 @@
         holder.looked.add(name)
         holder.lost.discard(name)
         holder.planner.report(
-            name, report, sent_at=self.now, now=self.now, unix_s=UNIX + self.now
+            name, report, sent_at=self.now, now=self.now, unix_s=START_UNIX_S + self.now
         )
         if report.ended and self._store(holder):
             holder.acknowledged[name] = max(end.sequence for end in report.ended)
@@ -214,7 +216,7 @@
             outcome,
             certain=outcome is not StartOutcome.UNKNOWN,
             now=self.now,
-            unix_s=UNIX + self.now,
+            unix_s=START_UNIX_S + self.now,
         )
 
     def _stop(self, holder, order):
