--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -37,7 +37,7 @@
     first = world.starts()
     assert [order.task.step for order in first] == [0, 0]
     for order in first:
-        world.answer(order)
+        world.answer_start(order)
     world.report("w1", ended=[ended(first[0]), ended(first[1], sequence=2)])
     (last,) = world.starts()
     assert last.task == TaskName("j", 0, 1, 0)
@@ -131,7 +131,7 @@
     world.report("w1")
     world.add(request("j", step(gpu=8)))
     (order,) = world.starts()
-    world.answer(order, StartOutcome.UNKNOWN, certain=False)
+    world.answer_start(order, StartOutcome.UNKNOWN, certain=False)
     world.add(request("k", step(gpu=8)))
     world.now = 1.0
     stops = world.plan()
@@ -145,7 +145,7 @@
     world.report("w1")
     world.add(request("j", step(gpu=8)))
     (order,) = world.starts()
-    world.answer(order, StartOutcome.UNKNOWN, certain=False)
+    world.answer_start(order, StartOutcome.UNKNOWN, certain=False)
     (stop,) = world.plan()
     world.now = 0.5
     world.planner.apply_stop_outcome(stop, StopOutcome.STOPPED, now=0.5)
@@ -161,7 +161,7 @@
         world.report(name)
     world.add(request("j", step(gpu=8)))
     (order,) = world.starts()
-    world.answer(order)
+    world.answer_start(order)
     world.now = 9.0
     other = "w2" if order.worker == "w1" else "w1"
     world.report(other)
@@ -178,7 +178,7 @@
     world.report("w1", born=1)
     world.add(request("j", step()))
     (order,) = world.starts()
-    world.answer(order)
+    world.answer_start(order)
     world.now = 1.0
     world.report("w1", born=2)
     (again,) = world.starts()
@@ -198,7 +198,7 @@
     world.report("w1")
     (order,) = world.starts()
     assert order.run == 2
-    world.answer(order)
+    world.answer_start(order)
     world.report("w1", ended=[ended(order, EndKind.FAILED, 8)])
     assert world.state("j") is JobState.FAILED
 
@@ -209,7 +209,7 @@
     world.report("w1")
     world.add(request("j", step(gang=True), route=queue("batch", 2, attempts=5)))
     (order,) = world.starts()
-    world.answer(order)
+    world.answer_start(order)
     world.report("w1", ended=[ended(order, EndKind.FAILED)])
     world.now = 2.0
     world.report("w1")
@@ -226,7 +226,7 @@
         world.now += 0.2
         (order,) = world.starts()
         used.append(order.worker)
-        world.answer(order)
+        world.answer_start(order)
         how = EndKind.FAILED if order.worker == used[0] else EndKind.STOPPED
         world.report(order.worker, ended=[ended(order, how, sequence)])
     assert used[1] == used[2] != used[0]
@@ -238,7 +238,7 @@
     world.report("w1")
     world.add(request("batch", step(gpu=8), route=queue("batch", 2), account="b"))
     (batch,) = world.starts()
-    world.answer(batch)
+    world.answer_start(batch)
     world.add(request("urgent", step(gpu=8, gang=True)))
     world.now = 0.1
     world.report("w1", running=[running(batch)])
@@ -256,7 +256,7 @@
     world.report("w1")
     world.add(request("batch", step(gpu=8), route=queue("batch", 2), account="b"))
     (batch,) = world.starts()
-    world.answer(batch)
+    world.answer_start(batch)
     world.add(request("urgent", step(gpu=8, gang=True)))
     world.now = 2.0
     world.report("w1", running=[running(batch)])
@@ -272,7 +272,7 @@
         world.add(request(name, step(gpu=8), route=queue("batch", 2), account="b"))
     batch = world.starts()
     for order in batch:
-        world.answer(order)
+        world.answer_start(order)
     world.add(request("urgent", step(gpu=8, gang=True)))
     world.now = 0.6
     (stop,) = world.plan()
@@ -303,7 +303,7 @@
     world.report("w1")
     world.add(request("j", step()))
     (order,) = world.starts()
-    world.answer(order)
+    world.answer_start(order)
     world.planner.cancel_job("j", unix_s=START_UNIX_S)
     assert world.plan() == [StopOrder("w1", order.task, 1)]
     world.report("w1", ended=[ended(order)])
@@ -324,7 +324,7 @@
         world.report(name)
     world.add(request("j", step()))
     (order,) = world.starts()
-    world.answer(order)
+    world.answer_start(order)
     for tenth in range(1, 40):
         world.now = tenth / 10
         world.report(order.worker, running=[running(order, 10.0)])
@@ -404,7 +404,7 @@
     world.add(request("j", step(2, gpu=8, gang=True)))
     fast, slow = world.starts()
     for order in (fast, slow):
-        world.answer(order)
+        world.answer_start(order)
     for second in range(1, 12):
         world.now = float(second)
         world.report(fast.worker, running=[running(fast, min(100, second * 20))])
@@ -419,7 +419,7 @@
     for sequence, how in enumerate([EndKind.DONE, EndKind.FAILED, EndKind.FAILED], 1):
         (order,) = world.starts()
         assert order.run == sequence
-        world.answer(order)
+        world.answer_start(order)
         world.report("w1", ended=[ended(order, how, sequence)])
         world.now += 9.0
         world.report("w1")
@@ -449,7 +449,7 @@
     world.report("w1")
     world.add(request("j", step(2, gang=True)))
     for order in world.starts():
-        world.answer(order)
+        world.answer_start(order)
     progress = world.planner.jobs["j"].progress()
     assert progress.units == {(0, 0, GANG_INDEX): UnitProgress(False, 1)}
 
@@ -559,7 +559,7 @@
     world.add(request("j", step(4, gpu=8, gang=True)))
     members = world.starts()
     for order in members:
-        world.answer(order)
+        world.answer_start(order)
     slow = members[0].worker
     for tenth in range(1, 45):
         world.now = tenth / 10
@@ -589,7 +589,7 @@
     world.planner.apply_advice(question, Advice({"w2": "t-2"}, 3.0), now=0.1)
     (order,) = world.starts()
     assert (order.worker, order.ticket) == ("w2", "t-2")
-    world.answer(order, StartOutcome.NO_TICKET)
+    world.answer_start(order, StartOutcome.NO_TICKET)
     world.now = 0.5
     assert world.starts() == []
     assert world.planner.advice_requests[-1].workers == ("w2",)
@@ -606,7 +606,7 @@
     batch = queue("batch", 2)
     world.add(request("fill", step(12, gpu=8), route=batch))
     for order in world.starts():
-        world.answer(order)
+        world.answer_start(order)
     world.add(request("wide", step(4, gpu=8, gang=True, same_rack=True), route=batch))
     assert world.starts() == []
 
@@ -622,7 +622,7 @@
     pinned = [step(gpu=1)._replace(data_rack=f"r{rack}") for rack in range(4)]
     world.add(request("small", *pinned))
     for order in world.starts():
-        world.answer(order)
+        world.answer_start(order)
     world.add(request("wide", step(4, gpu=8, gang=True, same_rack=True)))
     assert world.starts() == []
     world.now = 1.6
@@ -644,7 +644,7 @@
     orders = world.starts()
     assert len(orders) == 4
     for order in orders:
-        world.answer(order)
+        world.answer_start(order)
     world.add(request("urgent", step(2, gpu=8, gang=True, same_rack=True)))
     world.now = 0.1
     stops = world.plan()
--- a/libs/testing/src/bilberryhitch_testing/planner_harness.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_harness.py
@@ -151,10 +151,10 @@
         """Return the starts of one round, each of them answered."""
         orders = self.starts()
         for order in orders:
-            self.answer(order)
+            self.answer_start(order)
         return orders
 
-    def answer(
+    def answer_start(
         self,
         order: StartOrder,
         outcome: StartOutcome = StartOutcome.STARTED,
