--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -57,7 +57,9 @@
 
 def test_an_inherited_task_waits_for_workers_that_cannot_be_asked():
     """Guards against a second run of a task behind a cut after a takeover."""
-    world = PlannerHarness(entry("w1"), entry("w2"), inherited=200, until=12.0)
+    world = PlannerHarness(
+        entry("w1"), entry("w2"), inherited_revision=200, inherited_until=12.0
+    )
     world.report("w1")
     world.add(request("j", step()))
     assert world.starts() == []
@@ -67,7 +69,9 @@
 
 
 def test_a_new_job_does_not_wait_for_workers_that_cannot_be_asked():
-    world = PlannerHarness(entry("w1"), entry("w2"), inherited=50, until=12.0)
+    world = PlannerHarness(
+        entry("w1"), entry("w2"), inherited_revision=50, inherited_until=12.0
+    )
     world.report("w1")
     world.add(request("j", step()))
     assert len(world.starts()) == 1
@@ -77,7 +81,7 @@
     """Guards against TWICE of hunt-f18c-23: a deposed planner still read the feed
     and started a job that its successor took for new.
     """
-    world = PlannerHarness(entry("w1"), inherited=50)
+    world = PlannerHarness(entry("w1"), inherited_revision=50)
     world.report("w1")
     fresh = JobProgress(JobState.PENDING, "a", {})
     job = request("j", step())
@@ -93,7 +97,9 @@
 
 def test_an_inherited_gang_waits_for_a_member_behind_a_cut():
     """Guards against TWICE of 2026-12-04: the members that were seen had ended."""
-    world = PlannerHarness(entry("w1"), entry("w2"), inherited=200, until=12.0)
+    world = PlannerHarness(
+        entry("w1"), entry("w2"), inherited_revision=200, inherited_until=12.0
+    )
     world.add(request("j", step(2, gpu=8, gang=True)))
     seen = TaskName("j", 0, 0, 0)
     world.report("w1", running=[RunningTask(seen, 1, "", 5.0)])
@@ -111,7 +117,11 @@
 
 def test_an_inherited_gang_that_was_seen_whole_starts_again_at_once():
     world = PlannerHarness(
-        entry("w1"), entry("w2"), entry("w3"), inherited=200, until=12.0
+        entry("w1"),
+        entry("w2"),
+        entry("w3"),
+        inherited_revision=200,
+        inherited_until=12.0,
     )
     world.add(request("j", step(2, gpu=8, gang=True)))
     for ordinal, name in enumerate(("w1", "w2")):
@@ -187,7 +197,7 @@
 
 def test_attempts_are_counted_once_over_a_takeover():
     """Guards against BUDGET and a false failure: an end may be listed again."""
-    world = PlannerHarness(entry("w1"), inherited=200, until=0.0)
+    world = PlannerHarness(entry("w1"), inherited_revision=200, inherited_until=0.0)
     progress = JobProgress(
         JobState.RUNNING, "a", {(0, 0, 0): UnitProgress(False, 1, (1,))}
     )
@@ -458,7 +468,7 @@
     """Guards against LIMIT of hunt-d7e2-31: a planner that took over counted the
     runs of a cancelled job as nothing.
     """
-    world = PlannerHarness(entry("w1"), inherited=200)
+    world = PlannerHarness(entry("w1"), inherited_revision=200)
     world.add(
         request("gone", step(gpu=8)),
         JobProgress(JobState.CANCELLED, "a", {}, START_UNIX_S),
@@ -469,7 +479,7 @@
 
 
 def test_a_run_of_an_unknown_job_is_taken_to_fill_its_worker():
-    world = PlannerHarness(entry("w1"), inherited=200)
+    world = PlannerHarness(entry("w1"), inherited_revision=200)
     world.report("w1", running=[RunningTask(TaskName("gone", 0, 0, 0), 1, "", 5.0)])
     world.add(request("j", step()))
     assert world.starts() == []
@@ -479,7 +489,7 @@
     """Guards against BUDGET of grown mlac trouble-1: at a takeover one member was
     adopted as running before the other's failure was listed.
     """
-    world = PlannerHarness(entry("w1"), entry("w2"), inherited=200)
+    world = PlannerHarness(entry("w1"), entry("w2"), inherited_revision=200)
     progress = JobProgress(
         JobState.RUNNING, "a", {(0, 0, GANG_INDEX): UnitProgress(False, 1, (1,))}
     )
@@ -493,7 +503,7 @@
     """Guards against TWICE 13 of mix 493721912419 (mlac): the worker's entry had
     lapsed behind a cut, and the earlier planner was cut off from the store.
     """
-    world = PlannerHarness(entry("w1"), inherited=200, until=12.0)
+    world = PlannerHarness(entry("w1"), inherited_revision=200, inherited_until=12.0)
     world.planner.add_unregistered_worker("w2", now=0.0)
     world.report("w1")
     world.add(request("j", step()))
--- a/libs/testing/src/bilberryhitch_testing/planner_harness.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_harness.py
@@ -86,12 +86,14 @@
     def __init__(
         self,
         *workers: WorkerEntry,
-        inherited: int = 0,
-        until: float = 0.0,
+        inherited_revision: int = 0,
+        inherited_until: float = 0.0,
         guaranteed: int = 0,
     ) -> None:
         self.now = 0.0
-        self.planner = Planner(inherited_revision=inherited, inherited_until=until)
+        self.planner = Planner(
+            inherited_revision=inherited_revision, inherited_until=inherited_until
+        )
         self.planner.configure(configuration(guaranteed))
         for each in workers:
             self.planner.add_worker(each, now=self.now)
