--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -34,12 +34,12 @@
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(2), step(1, depends_on=(0,))))
-    first = world.starts()
+    first = world.plan_starts()
     assert [order.task.step for order in first] == [0, 0]
     for order in first:
         world.answer_start(order)
     world.report("w1", ended=[ended(first[0]), ended(first[1], sequence=2)])
-    (last,) = world.starts()
+    (last,) = world.plan_starts()
     assert last.task == TaskName("j", 0, 1, 0)
     world.report(
         "w1",
@@ -52,7 +52,7 @@
     """Guards against a second run of what an earlier planner has started."""
     world = PlannerHarness(entry("w1"))
     world.add(request("j", step()))
-    assert world.starts() == []
+    assert world.plan_starts() == []
 
 
 def test_an_inherited_task_waits_for_workers_that_cannot_be_asked():
@@ -62,10 +62,10 @@
     )
     world.report("w1")
     world.add(request("j", step()))
-    assert world.starts() == []
+    assert world.plan_starts() == []
     world.now = 12.5
     world.report("w1")
-    assert len(world.starts()) == 1
+    assert len(world.plan_starts()) == 1
 
 
 def test_a_new_job_does_not_wait_for_workers_that_cannot_be_asked():
@@ -74,7 +74,7 @@
     )
     world.report("w1")
     world.add(request("j", step()))
-    assert len(world.starts()) == 1
+    assert len(world.plan_starts()) == 1
 
 
 def test_a_job_accepted_after_the_lease_was_last_confirmed_is_not_started():
@@ -87,12 +87,12 @@
     job = request("j", step())
     world.planner.add_job(job, fresh, 60, now=0.0, unix_s=START_UNIX_S)
     assert world.planner.has_unconfirmed_jobs
-    assert world.starts() == []
+    assert world.plan_starts() == []
     world.planner.confirm(59)
-    assert world.starts() == []
+    assert world.plan_starts() == []
     world.planner.confirm(61)
     assert not world.planner.has_unconfirmed_jobs
-    assert len(world.starts()) == 1
+    assert len(world.plan_starts()) == 1
 
 
 def test_an_inherited_gang_waits_for_a_member_behind_a_cut():
@@ -108,11 +108,11 @@
     world.report("w1")
     world.planner.add_worker(entry("w3"), now=1.0)
     world.report("w3")
-    assert world.starts() == []
+    assert world.plan_starts() == []
     world.now = 12.5
     for name in ("w1", "w3"):
         world.report(name)
-    assert {order.run for order in world.starts()} == {2}
+    assert {order.run for order in world.plan_starts()} == {2}
 
 
 def test_an_inherited_gang_that_was_seen_whole_starts_again_at_once():
@@ -132,7 +132,7 @@
         world.report(
             name, ended=[EndedTask(1, TaskName("j", 0, 0, ordinal), 1, EndKind.BROKEN)]
         )
-    assert [order.run for order in world.starts()] == [2, 2]
+    assert [order.run for order in world.plan_starts()] == [2, 2]
 
 
 def test_a_run_that_may_exist_holds_its_room():
@@ -140,28 +140,28 @@
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(gpu=8)))
-    (order,) = world.starts()
+    (order,) = world.plan_starts()
     world.answer_start(order, StartOutcome.UNKNOWN, certain=False)
     world.add(request("k", step(gpu=8)))
     world.now = 1.0
     stops = world.plan()
     assert [type(each) for each in stops] == [StopOrder]
     world.report("w1")
-    assert world.starts() == []
+    assert world.plan_starts() == []
 
 
 def test_a_stopped_run_frees_its_room_with_the_first_listing_without_it():
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(gpu=8)))
-    (order,) = world.starts()
+    (order,) = world.plan_starts()
     world.answer_start(order, StartOutcome.UNKNOWN, certain=False)
     (stop,) = world.plan()
     world.now = 0.5
     world.planner.apply_stop_outcome(stop, StopOutcome.STOPPED, now=0.5)
     world.now = 1.0
     world.report("w1")
-    (again,) = world.starts()
+    (again,) = world.plan_starts()
     assert again.run == 2
 
 
@@ -170,15 +170,15 @@
     for name in ("w1", "w2"):
         world.report(name)
     world.add(request("j", step(gpu=8)))
-    (order,) = world.starts()
+    (order,) = world.plan_starts()
     world.answer_start(order)
     world.now = 9.0
     other = "w2" if order.worker == "w1" else "w1"
     world.report(other)
-    assert world.starts() == []
+    assert world.plan_starts() == []
     world.now = 10.8
     world.report(other)
-    (again,) = world.starts()
+    (again,) = world.plan_starts()
     assert again.worker == other
     assert again.run == 2
 
@@ -187,11 +187,11 @@
     world = PlannerHarness(entry("w1"))
     world.report("w1", born=1)
     world.add(request("j", step()))
-    (order,) = world.starts()
+    (order,) = world.plan_starts()
     world.answer_start(order)
     world.now = 1.0
     world.report("w1", born=2)
-    (again,) = world.starts()
+    (again,) = world.plan_starts()
     assert again.run == 2
 
 
@@ -206,7 +206,7 @@
     assert world.state("j") is JobState.RUNNING
     world.now = 5.0
     world.report("w1")
-    (order,) = world.starts()
+    (order,) = world.plan_starts()
     assert order.run == 2
     world.answer_start(order)
     world.report("w1", ended=[ended(order, EndKind.FAILED, 8)])
@@ -218,12 +218,12 @@
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(gang=True), route=queue("batch", 2, attempts=5)))
-    (order,) = world.starts()
+    (order,) = world.plan_starts()
     world.answer_start(order)
     world.report("w1", ended=[ended(order, EndKind.FAILED)])
     world.now = 2.0
     world.report("w1")
-    assert len(world.starts()) == 1
+    assert len(world.plan_starts()) == 1
 
 
 def test_a_worker_that_fails_everything_is_left_alone():
@@ -234,7 +234,7 @@
     used = []
     for sequence in range(1, 4):
         world.now += 0.2
-        (order,) = world.starts()
+        (order,) = world.plan_starts()
         used.append(order.worker)
         world.answer_start(order)
         how = EndKind.FAILED if order.worker == used[0] else EndKind.STOPPED
@@ -247,7 +247,7 @@
     world = PlannerHarness(entry("w1"), guaranteed=8)
     world.report("w1")
     world.add(request("batch", step(gpu=8), route=queue("batch", 2), account="b"))
-    (batch,) = world.starts()
+    (batch,) = world.plan_starts()
     world.answer_start(batch)
     world.add(request("urgent", step(gpu=8, gang=True)))
     world.now = 0.1
@@ -257,7 +257,7 @@
     world.add(request("late", step(gpu=1), account="b"))
     world.now = 1.0
     world.report("w1", ended=[ended(batch, EndKind.STOPPED)])
-    (order, *_) = world.starts()
+    (order, *_) = world.plan_starts()
     assert order.task.job == "urgent"
 
 
@@ -265,7 +265,7 @@
     world = PlannerHarness(entry("w1"), guaranteed=4)
     world.report("w1")
     world.add(request("batch", step(gpu=8), route=queue("batch", 2), account="b"))
-    (batch,) = world.starts()
+    (batch,) = world.plan_starts()
     world.answer_start(batch)
     world.add(request("urgent", step(gpu=8, gang=True)))
     world.now = 2.0
@@ -280,7 +280,7 @@
         world.report(name)
     for name in ("b1", "b2"):
         world.add(request(name, step(gpu=8), route=queue("batch", 2), account="b"))
-    batch = world.starts()
+    batch = world.plan_starts()
     for order in batch:
         world.answer_start(order)
     world.add(request("urgent", step(gpu=8, gang=True)))
@@ -300,19 +300,19 @@
     world.add(request("j", step(), schedule=Schedule(2, START_UNIX_S + 5, 3.0)))
     world.now = 4.9
     world.report("w1")
-    assert world.starts() == []
+    assert world.plan_starts() == []
     world.now = 5.0
-    assert [order.task.occurrence for order in world.starts()] == [0]
+    assert [order.task.occurrence for order in world.plan_starts()] == [0]
     world.now = 8.0
     world.report_all()
-    assert [order.task.occurrence for order in world.starts()] == [1]
+    assert [order.task.occurrence for order in world.plan_starts()] == [1]
 
 
 def test_a_cancelled_job_is_stopped_and_stays_cancelled():
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step()))
-    (order,) = world.starts()
+    (order,) = world.plan_starts()
     world.answer_start(order)
     world.planner.cancel_job("j", unix_s=START_UNIX_S)
     assert world.plan() == [StopOrder("w1", order.task, 1)]
@@ -333,7 +333,7 @@
     for name in ("w1", "w2"):
         world.report(name)
     world.add(request("j", step()))
-    (order,) = world.starts()
+    (order,) = world.plan_starts()
     world.answer_start(order)
     for tenth in range(1, 40):
         world.now = tenth / 10
@@ -341,7 +341,7 @@
     assert world.plan() == [StopOrder(order.worker, order.task, 1)]
     world.report(order.worker, ended=[ended(order, EndKind.STOPPED, saved="7")])
     world.report_all()
-    (again,) = world.starts()
+    (again,) = world.plan_starts()
     assert again.worker != order.worker
     assert again.saved == "7"
 
@@ -382,14 +382,14 @@
     world.report("w1b")
     world.report("w2")
     world.add(request("j", step(gpu=1)))
-    (order,) = world.starts()
+    (order,) = world.plan_starts()
     assert order.worker == "w2"
     # Born again under its own name, within seconds: left alone for a while.
     world.report("w1b", born=7)
     world.report("w1b", born=8)
     world.report("w2", running=[running(order)])
     world.add(request("k", step(8, gpu=1)))
-    assert {order.worker for order in world.starts()} == {"w2"}
+    assert {order.worker for order in world.plan_starts()} == {"w2"}
 
 
 def test_nothing_starts_while_no_lease_could_be_granted():
@@ -401,7 +401,7 @@
     world.add(request("j", step()))
     world.planner.stored_roster = frozenset({"w1"})
     assert world.planner.plan(now=0.0, unix_s=START_UNIX_S, may_start=False) == []
-    assert len(world.starts()) == 1
+    assert len(world.plan_starts()) == 1
 
 
 def test_members_that_wait_for_slower_ones_are_not_taken_for_stalled():
@@ -412,7 +412,7 @@
     for name in ("w1", "w2"):
         world.report(name)
     world.add(request("j", step(2, gpu=8, gang=True)))
-    fast, slow = world.starts()
+    fast, slow = world.plan_starts()
     for order in (fast, slow):
         world.answer_start(order)
     for second in range(1, 12):
@@ -427,7 +427,7 @@
     world.report("w1")
     world.add(request("j", step(long_running=True)))
     for sequence, how in enumerate([EndKind.DONE, EndKind.FAILED, EndKind.FAILED], 1):
-        (order,) = world.starts()
+        (order,) = world.plan_starts()
         assert order.run == sequence
         world.answer_start(order)
         world.report("w1", ended=[ended(order, how, sequence)])
@@ -442,7 +442,9 @@
     for each in workers:
         world.report(each.worker)
     world.add(request("j", step(2, gpu=8, gang=True, same_rack=True)))
-    racks = {world.planner.workers[order.worker].entry.rack for order in world.starts()}
+    racks = {
+        world.planner.workers[order.worker].entry.rack for order in world.plan_starts()
+    }
     assert len(racks) == 1
 
 
@@ -451,14 +453,14 @@
     for name in ("w1", "w2"):
         world.report(name)
     world.add(request("j", step(4, max_tasks_per_worker=1)))
-    assert sorted(order.worker for order in world.starts()) == ["w1", "w2"]
+    assert sorted(order.worker for order in world.plan_starts()) == ["w1", "w2"]
 
 
 def test_progress_names_gangs_by_one_record():
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(2, gang=True)))
-    for order in world.starts():
+    for order in world.plan_starts():
         world.answer_start(order)
     progress = world.planner.jobs["j"].progress()
     assert progress.units == {(0, 0, GANG_INDEX): UnitProgress(False, 1)}
@@ -475,14 +477,14 @@
     )
     world.report("w1", running=[RunningTask(TaskName("gone", 0, 0, 0), 1, "", 5.0)])
     world.add(request("j", step()))
-    assert world.starts() == []
+    assert world.plan_starts() == []
 
 
 def test_a_run_of_an_unknown_job_is_taken_to_fill_its_worker():
     world = PlannerHarness(entry("w1"), inherited_revision=200)
     world.report("w1", running=[RunningTask(TaskName("gone", 0, 0, 0), 1, "", 5.0)])
     world.add(request("j", step()))
-    assert world.starts() == []
+    assert world.plan_starts() == []
 
 
 def test_a_failure_seen_after_another_member_of_the_gang_is_counted():
@@ -507,9 +509,9 @@
     world.planner.add_unregistered_worker("w2", now=0.0)
     world.report("w1")
     world.add(request("j", step()))
-    assert world.starts() == []
+    assert world.plan_starts() == []
     world.planner.worker_gone("w2", now=0.0, unix_s=START_UNIX_S)
-    assert len(world.starts()) == 1
+    assert len(world.plan_starts()) == 1
 
 
 def test_a_worker_is_used_only_after_a_later_planner_would_ask_it():
@@ -531,7 +533,7 @@
     world.report("w1")
     world.add(request("fresh", step(gpu=8, gang=True), route=queue("batch", 2)))
     world.planner.workers["w1"].paused_until = 0.0
-    assert [order.task.job for order in world.starts()] == ["fresh"]
+    assert [order.task.job for order in world.plan_starts()] == ["fresh"]
 
 
 def test_the_least_slack_goes_first_within_a_priority():
@@ -540,7 +542,7 @@
     long = step(gpu=8, gang=True)._replace(estimate_s=20.0)
     world.add(request("long", long, route=queue("batch", 2)))
     world.add(request("short", step(gpu=8, gang=True), route=queue("batch", 2)))
-    assert [order.task.job for order in world.starts()] == ["short"]
+    assert [order.task.job for order in world.plan_starts()] == ["short"]
 
 
 def test_a_full_pool_spares_idle_workers_for_urgent_gangs():
@@ -553,11 +555,11 @@
         world.report(each.worker)
     batch = queue("batch", 2)
     world.add(request("batch", step(7, gpu=8), route=batch))
-    assert len(world.starts()) == 7
+    assert len(world.plan_starts()) == 7
     world.add(request("more", step(gpu=8), route=batch))
-    assert world.starts() == []
+    assert world.plan_starts() == []
     world.add(request("urgent", step(gpu=8, gang=True)))
-    assert [order.task.job for order in world.starts()] == ["urgent"]
+    assert [order.task.job for order in world.plan_starts()] == ["urgent"]
 
 
 def test_a_slowed_worker_is_found_by_comparison_and_used_last():
@@ -567,7 +569,7 @@
     for each in workers:
         world.report(each.worker)
     world.add(request("j", step(4, gpu=8, gang=True)))
-    members = world.starts()
+    members = world.plan_starts()
     for order in members:
         world.answer_start(order)
     slow = members[0].worker
@@ -581,7 +583,7 @@
     for order in members:
         world.report(order.worker, ended=[ended(order)])
     world.add(request("k", step(3, gpu=8, gang=True)))
-    assert slow not in {order.worker for order in world.starts()}
+    assert slow not in {order.worker for order in world.plan_starts()}
 
 
 def test_a_step_that_needs_permission_is_asked_for_and_carries_its_ticket():
@@ -591,17 +593,17 @@
         world.report(name)
     advised = queue("advised", 1)._replace(advice=AdvicePolicy(0.05, 0.01, 3.0))
     world.add(request("j", step(2, gpu=8), route=advised))
-    assert world.starts() == []
+    assert world.plan_starts() == []
     (question,) = world.planner.advice_requests
     assert sorted(question.workers) == ["w1", "w2"]
-    assert world.starts() == []
+    assert world.plan_starts() == []
     assert len(world.planner.advice_requests) == 1
     world.planner.apply_advice(question, Advice({"w2": "t-2"}, 3.0), now=0.1)
-    (order,) = world.starts()
+    (order,) = world.plan_starts()
     assert (order.worker, order.ticket) == ("w2", "t-2")
     world.answer_start(order, StartOutcome.NO_TICKET)
     world.now = 0.5
-    assert world.starts() == []
+    assert world.plan_starts() == []
     assert world.planner.advice_requests[-1].workers == ("w2",)
 
 
@@ -615,10 +617,10 @@
         world.report(each.worker)
     batch = queue("batch", 2)
     world.add(request("fill", step(12, gpu=8), route=batch))
-    for order in world.starts():
+    for order in world.plan_starts():
         world.answer_start(order)
     world.add(request("wide", step(4, gpu=8, gang=True, same_rack=True), route=batch))
-    assert world.starts() == []
+    assert world.plan_starts() == []
 
 
 def test_a_rack_bound_gang_waits_although_half_of_the_pool_is_idle_in_pieces():
@@ -631,13 +633,13 @@
         world.report(each.worker)
     pinned = [step(gpu=1)._replace(data_rack=f"r{rack}") for rack in range(4)]
     world.add(request("small", *pinned))
-    for order in world.starts():
+    for order in world.plan_starts():
         world.answer_start(order)
     world.add(request("wide", step(4, gpu=8, gang=True, same_rack=True)))
-    assert world.starts() == []
+    assert world.plan_starts() == []
     world.now = 1.6
     world.report_all()
-    assert world.starts() == []
+    assert world.plan_starts() == []
 
 
 def test_a_guaranteed_gang_takes_two_racks_when_none_can_be_cleared():
@@ -651,7 +653,7 @@
     ]
     world.add(request("lasting", *lasting, route=queue("batch", 2), account="b"))
     world.add(request("batch", step(2, gpu=8), route=queue("batch", 2), account="b"))
-    orders = world.starts()
+    orders = world.plan_starts()
     assert len(orders) == 4
     for order in orders:
         world.answer_start(order)
@@ -662,4 +664,4 @@
     for sequence, stop in enumerate(stops, 1):
         end = EndedTask(sequence, stop.task, stop.run, EndKind.STOPPED)
         world.report(stop.worker, ended=[end])
-    assert [order.task.job for order in world.starts()][:2] == ["urgent", "urgent"]
+    assert [order.task.job for order in world.plan_starts()][:2] == ["urgent", "urgent"]
--- a/libs/testing/src/bilberryhitch_testing/planner_harness.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_harness.py
@@ -145,13 +145,13 @@
         self.planner.tick(now=self.now, unix_s=START_UNIX_S + self.now)
         return self.planner.plan(now=self.now, unix_s=START_UNIX_S + self.now)
 
-    def starts(self) -> list[StartOrder]:
+    def plan_starts(self) -> list[StartOrder]:
         """Return the starts of one round."""
         return [order for order in self.plan() if isinstance(order, StartOrder)]
 
     def start_all(self) -> list[StartOrder]:
         """Return the starts of one round, each of them answered."""
-        orders = self.starts()
+        orders = self.plan_starts()
         for order in orders:
             self.answer_start(order)
         return orders
