--- a/libs/planner/tests/test_candidate.py
+++ b/libs/planner/tests/test_candidate.py
@@ -1,4 +1,4 @@
-"""A candidate ends when it is closed, whatever ends its tenure meanwhile."""
+"""Tests that closing a candidate ends it, also while its lease term is ending."""
 
 import asyncio
 from types import SimpleNamespace
@@ -8,8 +8,8 @@
 from bilberryhitch_planner.errors import Isolated
 
 
-class EndingPlanner:
-    """A tenure that ends by an error of its own while it is cancelled."""
+class FailingPlanner:
+    """A planner that raises an error while it is cancelled."""
 
     def __init__(self, error):
         self.released = 0
@@ -25,18 +25,18 @@
         try:
             await asyncio.sleep(3600)
         except asyncio.CancelledError:
-            # A task group drops a cancellation that meets an error of a child.
-            raise ExceptionGroup("tenure", [self._error]) from None
+            # A task group drops a cancellation that coincides with a child's error.
+            raise ExceptionGroup("lease term", [self._error]) from None
 
 
 @pytest.mark.parametrize("error", [Isolated(4, 4), Deposed("other"), ValueError()])
-def test_a_stop_that_meets_the_end_of_a_tenure_ends_the_candidate(error):
-    """Guards against the hang of soak seed 2: a planner that was frozen woke up
-    isolated and was told to stop in the same turn, and its process never ended.
+def test_closing_ends_the_candidate_while_its_lease_term_ends(error):
+    """Guards against a hang: a suspended planner resumed, found itself isolated and was
+    closed in the same loop iteration, and its process never ended.
     """
 
-    async def scene():
-        planner = EndingPlanner(error)
+    async def run_scenario():
+        planner = FailingPlanner(error)
 
         async def acquire():
             return LeaderLease("a/1", 1, 0.0, 0.0)
@@ -48,12 +48,12 @@
             await candidate.close()
         assert not candidate.leading
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
 
 
-def test_a_closed_planner_gives_its_lease_up():
-    async def scene():
-        planner = EndingPlanner(asyncio.CancelledError())
+def test_a_closed_planner_releases_its_lease():
+    async def run_scenario():
+        planner = FailingPlanner(asyncio.CancelledError())
 
         async def run():
             planner.started.set()
@@ -70,4 +70,4 @@
         await candidate.close()
         assert planner.released == 1
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
--- a/libs/planner/tests/test_event_wait.py
+++ b/libs/planner/tests/test_event_wait.py
@@ -1,5 +1,7 @@
-"""Guards against the hang of soak seed 127: a planner that was told to stop in the turn
-in which it woke up went on planning, and its process never ended.
+"""Tests of waits for events.
+
+They guard against a hang: a planner that was cancelled in the loop iteration in which
+its event was set went on planning, and its process never ended.
 """
 
 import asyncio
@@ -10,8 +12,8 @@
 
 @pytest.mark.parametrize("turns", range(4))
 @pytest.mark.parametrize("cancel_first", [False, True])
-def test_a_cancellation_is_not_lost_when_the_event_happens(turns, cancel_first):
-    async def scene():
+def test_a_cancellation_is_not_lost_when_the_event_is_set(turns, cancel_first):
+    async def run_scenario():
         event = asyncio.Event()
         task = asyncio.create_task(wait_for_event(event, 10.0))
         await asyncio.sleep(0)
@@ -25,8 +27,8 @@
         await asyncio.wait((task,))
         assert task.cancelled() is accepted
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
 
 
-def test_an_event_that_does_not_happen():
+def test_a_wait_times_out():
     assert asyncio.run(wait_for_event(asyncio.Event(), 0.01)) is False
--- a/libs/planner/tests/test_leader_election.py
+++ b/libs/planner/tests/test_leader_election.py
@@ -1,4 +1,4 @@
-"""The planner's lease over a store in memory."""
+"""Tests of the leader lease and the state writer with a store in memory."""
 
 import asyncio
 from types import SimpleNamespace
@@ -25,7 +25,7 @@
 
 @pytest.fixture(autouse=True)
 def loop_clock(monkeypatch):
-    """Let the code read the clock that the test's event loop owns."""
+    """Replace the clock of the tested modules by that of the event loop."""
     clock = SimpleNamespace(
         monotonic=lambda: asyncio.get_running_loop().time(), time=lambda: 0.0
     )
@@ -34,7 +34,7 @@
 
 
 class MemoryStore:
-    """Rows with conditional transactions; answers may be lost."""
+    """A store with conditional transactions whose replies may be lost."""
 
     def __init__(self):
         self.rows = {}
@@ -80,81 +80,85 @@
     return planner, StateWriter(store, lease, planner, keep_s=60.0)
 
 
-def test_a_silent_holder_is_replaced_and_shut_out():
-    async def scene():
+def test_a_holder_that_does_not_renew_is_replaced_and_deposed():
+    async def run_scenario():
         store = MemoryStore()
         first = await LeaderElection(store, "a/1").acquire()
-        _, old = state_writer(store, first)
-        await old.write()
+        _, old_writer = state_writer(store, first)
+        await old_writer.write()
         second = await LeaderElection(store, "b/1").acquire()
         assert second.token > first.token
         with pytest.raises(Deposed):
-            await old.write()
+            await old_writer.write()
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
 
 
-def test_a_holder_that_renews_is_left_alone():
-    async def scene():
+def test_a_holder_that_renews_is_not_replaced():
+    async def run_scenario():
         store = MemoryStore()
         lease = await LeaderElection(store, "a/1").acquire()
-        _, held = state_writer(store, lease)
-        running = asyncio.create_task(held.run())
+        _, writer = state_writer(store, lease)
+        writing = asyncio.create_task(writer.run())
         rival = asyncio.create_task(LeaderElection(store, "b/1").acquire())
         await asyncio.sleep(5 * LEASE_EXPIRY_S)
         assert not rival.done()
         assert store.lease().holder == "a/1"
-        for task in (running, rival):
+        for task in (writing, rival):
             task.cancel()
-        await asyncio.gather(running, rival, return_exceptions=True)
+        await asyncio.gather(writing, rival, return_exceptions=True)
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
 
 
-def test_a_released_lease_is_taken_at_once():
-    async def scene():
+def test_a_released_lease_is_acquired_at_once():
+    async def run_scenario():
         store = MemoryStore()
         lease = await LeaderElection(store, "a/1").acquire()
-        _, held = state_writer(store, lease)
-        await held.release()
+        _, writer = state_writer(store, lease)
+        await writer.release()
         async with asyncio.timeout(LEASE_EXPIRY_S / 2):
             await LeaderElection(store, "b/1").acquire()
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
 
 
-def test_a_host_takes_the_lease_of_its_own_earlier_life_at_once():
-    """After a loss of power of all hosts nobody else would take it sooner."""
+def test_a_host_takes_over_the_lease_of_its_earlier_process_at_once():
+    """Guards against a delay after a power failure of all hosts: no other host could
+    take the lease earlier.
+    """
 
-    async def scene():
+    async def run_scenario():
         store = MemoryStore()
         first = await LeaderElection(store, "a/1").acquire()
         async with asyncio.timeout(LEASE_EXPIRY_S / 2):
             second = await LeaderElection(store, "a/2").acquire()
         assert second.token > first.token
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
 
 
-def test_an_acquisition_whose_answer_was_lost_is_found():
-    async def scene():
+def test_an_acquisition_whose_reply_was_lost_is_recognised():
+    async def run_scenario():
         store = MemoryStore()
         store.lose = 1
         lease = await LeaderElection(store, "a/1").acquire()
         assert store.lease().holder == "a/1"
         assert lease.token == store.rows[LEASE_TABLE, LEASE_KEY].revision
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
 
 
-def test_a_lost_write_changes_the_lease_before_anything_else_is_written():
-    """Guards against LOST: an old copy of a progress row must not land late."""
+def test_after_a_lost_reply_the_lease_row_is_changed_first():
+    """Guards against lost progress: a transaction whose reply was lost must not
+    overwrite newer rows late.
+    """
 
-    async def scene():
+    async def run_scenario():
         store = MemoryStore()
         lease = await LeaderElection(store, "a/1").acquire()
-        planner, held = state_writer(store, lease)
-        await held.write()
+        planner, writer = state_writer(store, lease)
+        await writer.write()
         queue = Queue("q", "h", "/q/", "pool", 3.0, 0, 1, 1.0, 1.0, False, None)
         request = JobRequest("j", queue, "a", "s", (), 0.0)
         planner.add_job(
@@ -163,102 +167,103 @@
         planner.dirty.add("j")
         before = store.rows[LEASE_TABLE, LEASE_KEY].revision
         store.lose = 1
-        await held.write()
+        await writer.write()
         assert "j" in planner.dirty
-        await held.write()
-        await held.write()
+        await writer.write()
+        await writer.write()
         assert store.rows[LEASE_TABLE, LEASE_KEY].revision > before
         assert not planner.dirty
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
 
 
-def test_changes_are_settled_only_when_all_of_them_are_stored():
-    """Guards against LOST and TWICE: after an outage more jobs had changed than one
-    transaction holds, and ends of the rest were acknowledged before they were stored.
+def test_flush_waits_until_all_changes_are_stored():
+    """Guards against lost progress and second runs: after an outage more jobs had
+    changed than one transaction holds, and the ended runs of the others were
+    acknowledged before they were stored.
     """
 
-    async def scene():
+    async def run_scenario():
         store = MemoryStore()
         lease = await LeaderElection(store, "a/1").acquire()
-        planner, held = state_writer(store, lease)
+        planner, writer = state_writer(store, lease)
         queue = Queue("q", "h", "/q/", "pool", 3.0, 0, 1, 1.0, 1.0, False, None)
         for number in range(2 * MAX_ROWS_PER_COMMIT + 1):
             request = JobRequest(f"j{number}", queue, "a", "s", (), 0.0)
             progress = JobProgress(JobState.PENDING, "a", {})
             planner.add_job(request, progress, 1, now=0.0, unix_s=0.0)
             planner.dirty.add(request.job)
-        settled = asyncio.create_task(held.flush(5.0))
+        flushing = asyncio.create_task(writer.flush(5.0))
         await asyncio.sleep(0)
         for stored in (False, False, True):
-            await held.write()
+            await writer.write()
             await asyncio.sleep(0.01)
-            assert settled.done() is stored
-        assert settled.result()
+            assert flushing.done() is stored
+        assert flushing.result()
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
 
 
-def test_an_old_job_loses_its_request_before_its_progress():
-    """Guards against TWICE: a job with a request and without progress looks new to a
-    later planner.
+def test_an_expired_job_loses_its_request_before_its_progress():
+    """Guards against second runs: a job with a request and without progress looks new
+    to a later planner.
     """
 
-    async def scene():
+    async def run_scenario():
         store = MemoryStore()
         lease = await LeaderElection(store, "a/1").acquire()
-        planner, held = state_writer(store, lease)
+        planner, writer = state_writer(store, lease)
         queue = Queue("q", "h", "/q/", "pool", 3.0, 0, 1, 1.0, 1.0, False, None)
         request = JobRequest("0" * 16, queue, "a", "s", (), 0.0)
         done = JobProgress(JobState.COMPLETED, "a", {}, finished_s=1.0)
         planner.add_job(request, done, 1, now=0.0, unix_s=0.0)
         store.rows["jobs", request.job] = StoreRow("jobs", request.job, b"", 1)
         store.rows["progress", request.job] = StoreRow("progress", request.job, b"", 1)
-        sweeping = asyncio.create_task(held.remove_expired())
+        removing = asyncio.create_task(writer.remove_expired())
         await asyncio.sleep(REMOVAL_PERIOD_S * 1.5)
         assert ("jobs", request.job) not in store.rows
         assert ("progress", request.job) in store.rows
-        await held.write()
+        await writer.write()
         assert ("progress", request.job) not in store.rows
         assert request.job not in planner.jobs
-        sweeping.cancel()
+        removing.cancel()
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
 
 
-def test_a_removal_that_an_earlier_planner_began_is_finished():
-    """Guards against progress that stays for ever after a takeover."""
+def test_a_removal_begun_by_an_earlier_planner_is_completed():
+    """Guards against progress rows that are never removed after a takeover."""
 
-    async def scene():
+    async def run_scenario():
         store = MemoryStore()
         lease = await LeaderElection(store, "a/1").acquire()
-        _, held = state_writer(store, lease)
+        _, writer = state_writer(store, lease)
         done = JobProgress(JobState.COMPLETED, "a", {}, finished_s=1.0)
         begun = JobProgress(JobState.RUNNING, "a", {})
         for name in ("done", "begun"):
             store.rows["progress", name] = StoreRow("progress", name, b"", 1)
-        held.adopt_orphans({"done": done, "begun": begun})
-        await held.write()
+        writer.adopt_orphans({"done": done, "begun": begun})
+        await writer.write()
         assert ("progress", "done") not in store.rows
         assert ("progress", "begun") in store.rows
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
 
 
 def test_a_holder_whose_process_has_ended_is_replaced_without_waiting():
-    """Load: the planner is killed in a burst; urgent jobs have little more slack than
-    the silence that a candidate would wait for.
+    """Load: the planner is killed during a burst of urgent jobs, which have little more
+    slack than the time after which the lease expires.
     """
 
-    async def scene():
+    async def run_scenario():
         store, killed = MemoryStore(), asyncio.Event()
 
         async def ended(address):
             await (killed if address == "ip:1" else asyncio.Event()).wait()
 
         first = await LeaderElection(store, "a/1", "ip:1").acquire()
-        _, held = state_writer(store, first)
-        running = asyncio.create_task(held.run())
+        _, writer = state_writer(store, first)
+        writing = asyncio.create_task(writer.run())
         rivals = [
             asyncio.create_task(
                 LeaderElection(store, f"{name}/1", "ip:2", ended).acquire()
@@ -267,21 +272,21 @@
         ]
         await asyncio.sleep(3 * LEASE_EXPIRY_S)
         assert not any(rival.done() for rival in rivals)
-        running.cancel()
+        writing.cancel()
         killed.set()
         await asyncio.sleep(0.4)
         assert sum(rival.done() for rival in rivals) == 1
         for rival in rivals:
             rival.cancel()
-        await asyncio.gather(running, *rivals, return_exceptions=True)
+        await asyncio.gather(writing, *rivals, return_exceptions=True)
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
 
 
-def test_a_process_ends_when_its_port_refuses_not_when_a_connection_breaks():
-    """Guards against a planner that is replaced because connections were reset."""
+def test_a_process_has_ended_when_its_port_refuses_not_when_a_connection_breaks():
+    """Guards against a takeover from a writing planner after a connection reset."""
 
-    async def scene():
+    async def run_scenario():
         accepted = asyncio.Queue()
 
         async def accept(_reader, writer):
@@ -298,32 +303,32 @@
         async with asyncio.timeout(5):
             await watching
 
-    asyncio.run(scene())
+    asyncio.run(run_scenario())
 
 
-def test_waiting_jobs_are_counted_only_when_all_are_known():
-    """Guards against MIXED of the grown agency's scale-1: a new planner stored that no
-    job waits before it had read the jobs.
+def test_waiting_jobs_are_counted_only_after_all_are_loaded():
+    """Guards against wrong counts: a new planner stored a count of zero waiting jobs
+    before it had read the jobs.
     """
 
-    async def scene():
+    async def run_scenario():
         store = MemoryStore()
         store.rows["summary", "waiting"] = StoreRow("summary", "waiting", b'{"q":7}', 1)
         lease = await LeaderElection(store, "a/1").acquire()
-        _, held = state_writer(store, lease)
-        await held.write()
+        _, writer = state_writer(store, lease)
+        await writer.write()
         assert store.rows["summary", "waiting"].value == b'{"q":7}'
-        held.enable_waiting_counts()
-        await held.write()
+        writer.enable_waiting_counts()
+        await writer.write()
         assert store.rows["summary", "waiting"].value == b"{}"
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
 
 
-def test_a_candidate_that_is_stopped_leaves_nothing_behind():
-    """Guards against calls to the store that outlive its client."""
+def test_a_cancelled_acquisition_leaves_no_tasks():
+    """Guards against store calls that outlive the store client."""
 
-    async def scene():
+    async def run_scenario():
         store = MemoryStore()
         await LeaderElection(store, "a/1", "ip:1").acquire()
 
@@ -339,4 +344,4 @@
         await asyncio.sleep(0)
         assert asyncio.all_tasks() == {asyncio.current_task()}
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner against a model of workers, without a network."""
+"""Tests of the planner against model workers, without a network."""
 
 from bilberryhitch_jobs import (
     GANG_INDEX,
@@ -30,7 +30,7 @@
 )
 
 
-def test_a_job_is_started_and_completed_by_its_ends():
+def test_a_job_is_started_and_completed():
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(2), step(1, depends_on=(0,))))
@@ -49,14 +49,16 @@
 
 
 def test_nothing_starts_on_a_worker_that_has_not_listed_its_runs():
-    """Guards against a second run of what an earlier planner has started."""
+    """Guards against a second run of a task that an earlier planner has started."""
     world = PlannerHarness(entry("w1"))
     world.add(request("j", step()))
     assert world.plan_starts() == []
 
 
-def test_an_inherited_task_waits_for_workers_that_cannot_be_asked():
-    """Guards against a second run of a task behind a cut after a takeover."""
+def test_an_inherited_task_waits_for_unreachable_workers():
+    """Guards against a second run of a task that still runs on an unreachable worker
+    after a takeover.
+    """
     world = PlannerHarness(
         entry("w1"), entry("w2"), inherited_revision=200, inherited_until=12.0
     )
@@ -68,7 +70,7 @@
     assert len(world.plan_starts()) == 1
 
 
-def test_a_new_job_does_not_wait_for_workers_that_cannot_be_asked():
+def test_a_new_job_does_not_wait_for_unreachable_workers():
     world = PlannerHarness(
         entry("w1"), entry("w2"), inherited_revision=50, inherited_until=12.0
     )
@@ -78,8 +80,8 @@
 
 
 def test_a_job_accepted_after_the_lease_was_last_confirmed_is_not_started():
-    """Guards against TWICE of hunt-f18c-23: a deposed planner still read the feed
-    and started a job that its successor took for new.
+    """Guards against a second run: a deposed planner still read new jobs from the
+    store and started one that its successor treated as never started.
     """
     world = PlannerHarness(entry("w1"), inherited_revision=50)
     world.report("w1")
@@ -95,8 +97,10 @@
     assert len(world.plan_starts()) == 1
 
 
-def test_an_inherited_gang_waits_for_a_member_behind_a_cut():
-    """Guards against TWICE of 2026-12-04: the members that were seen had ended."""
+def test_an_inherited_gang_waits_for_a_member_on_an_unreachable_worker():
+    """Guards against a second run: all known members of the gang had ended, while
+    another one was running on an unreachable worker.
+    """
     world = PlannerHarness(
         entry("w1"), entry("w2"), inherited_revision=200, inherited_until=12.0
     )
@@ -115,7 +119,7 @@
     assert {order.run for order in world.plan_starts()} == {2}
 
 
-def test_an_inherited_gang_that_was_seen_whole_starts_again_at_once():
+def test_an_inherited_gang_whose_members_are_all_known_restarts_at_once():
     world = PlannerHarness(
         entry("w1"),
         entry("w2"),
@@ -135,8 +139,8 @@
     assert [order.run for order in world.plan_starts()] == [2, 2]
 
 
-def test_a_run_that_may_exist_holds_its_room():
-    """Guards against LIMIT: an unanswered start may be carried out late."""
+def test_a_run_that_may_exist_holds_its_resources():
+    """Guards against overcommitted workers: unanswered starts may take effect late."""
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(gpu=8)))
@@ -150,7 +154,7 @@
     assert world.plan_starts() == []
 
 
-def test_a_stopped_run_frees_its_room_with_the_first_listing_without_it():
+def test_a_stopped_run_frees_its_resources_with_the_first_reply_without_it():
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(gpu=8)))
@@ -183,7 +187,7 @@
     assert again.run == 2
 
 
-def test_a_worker_born_again_has_lost_its_runs():
+def test_a_restarted_worker_has_lost_its_runs():
     world = PlannerHarness(entry("w1"))
     world.report("w1", born=1)
     world.add(request("j", step()))
@@ -195,8 +199,8 @@
     assert again.run == 2
 
 
-def test_attempts_are_counted_once_over_a_takeover():
-    """Guards against BUDGET and a false failure: an end may be listed again."""
+def test_failed_attempts_are_counted_once_across_a_takeover():
+    """Guards against wrong failure counts: an ended run may be listed again."""
     world = PlannerHarness(entry("w1"), inherited_revision=200, inherited_until=0.0)
     progress = JobProgress(
         JobState.RUNNING, "a", {(0, 0, 0): UnitProgress(False, 1, (1,))}
@@ -214,7 +218,9 @@
 
 
 def test_a_failing_worker_is_used_for_a_gang_when_there_is_no_other():
-    """Guards against RECLAIM: one failure barred a worker from gangs for ever."""
+    """Guards against a missed guarantee: one failure excluded a worker from gangs for
+    good.
+    """
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(gang=True), route=queue("batch", 2, attempts=5)))
@@ -226,7 +232,7 @@
     assert len(world.plan_starts()) == 1
 
 
-def test_a_worker_that_fails_everything_is_left_alone():
+def test_a_worker_that_fails_every_run_is_quarantined():
     world = PlannerHarness(entry("w1"), entry("w2"))
     for name in ("w1", "w2"):
         world.report(name)
@@ -242,8 +248,8 @@
     assert used[1] == used[2] != used[0]
 
 
-def test_an_urgent_job_within_its_guarantee_evicts_batch_work():
-    """Guards against RECLAIM: the pool is full of borrowers."""
+def test_an_urgent_job_within_its_guarantee_preempts_batch_work():
+    """Guards against a missed guarantee: other accounts' work fills the pool."""
     world = PlannerHarness(entry("w1"), guaranteed=8)
     world.report("w1")
     world.add(request("batch", step(gpu=8), route=queue("batch", 2), account="b"))
@@ -261,7 +267,7 @@
     assert order.task.job == "urgent"
 
 
-def test_an_urgent_job_beyond_its_guarantee_evicts_nothing():
+def test_an_urgent_job_beyond_its_guarantee_preempts_nothing():
     world = PlannerHarness(entry("w1"), guaranteed=4)
     world.report("w1")
     world.add(request("batch", step(gpu=8), route=queue("batch", 2), account="b"))
@@ -273,8 +279,10 @@
     assert world.plan() == []
 
 
-def test_room_that_did_not_come_free_is_sought_anew():
-    """Guards against RECLAIM: room was kept for ever on a worker that had left."""
+def test_a_preemption_that_frees_no_capacity_is_replaced():
+    """Guards against a missed guarantee: capacity was held for good on a worker that
+    had left.
+    """
     world = PlannerHarness(entry("w1"), entry("w2"), guaranteed=8)
     for name in ("w1", "w2"):
         world.report(name)
@@ -320,15 +328,15 @@
     assert world.state("j") is JobState.CANCELLED
 
 
-def test_a_run_nobody_needs_is_stopped():
-    """Guards against UNASKED: a late order started a task of a cancelled job."""
+def test_a_run_that_is_not_needed_is_stopped():
+    """Guards against runs of cancelled jobs, started by a delayed order."""
     world = PlannerHarness(entry("w1"))
     task = TaskName("gone", 0, 0, 0)
     world.report("w1", running=[RunningTask(task, 3, "", 1.0)])
     assert world.plan() == [StopOrder("w1", task, 3)]
 
 
-def test_a_run_without_progress_is_stopped_and_starts_elsewhere():
+def test_a_stalled_run_is_stopped_and_restarted_elsewhere():
     world = PlannerHarness(entry("w1"), entry("w2"))
     for name in ("w1", "w2"):
         world.report(name)
@@ -346,17 +354,17 @@
     assert again.saved == "7"
 
 
-def test_an_urgent_gang_leaves_a_member_that_hangs_within_its_slack():
-    """Load: workers that hang for six seconds under urgent gangs (trouble-3 of the
-    grown agency); each gang waited until the disturbance was over.
+def test_an_urgent_gang_with_a_stalled_member_restarts_within_its_slack():
+    """Load: workers that hang for six seconds while they run members of urgent gangs.
+    Each gang waited until its worker had recovered.
     """
     world = PlannerHarness(entry("w1"), entry("w2"), entry("w3"), entry("w4"))
     world.report_all()
     world.add(request("j", step(2, gpu=8, gang=True)))
     sound, hung = world.start_all()
-    for look in range(1, 5):
-        world.now = look * 0.4
-        world.report(sound.worker, running=[running(sound, look * 16)])
+    for poll in range(1, 5):
+        world.now = poll * 0.4
+        world.report(sound.worker, running=[running(sound, poll * 16)])
         world.report(hung.worker, running=[running(hung, 5)])
         for idle in {"w1", "w2", "w3", "w4"} - {sound.worker, hung.worker}:
             world.report(idle)
@@ -369,9 +377,9 @@
     assert hung.worker not in {order.worker for order in again}
 
 
-def test_a_worker_that_goes_down_and_up_is_used_last():
-    """Load: workers that crash and start again every second (scale-1 of the grown
-    agency); each urgent gang with a member there had to start again.
+def test_a_worker_in_a_crash_loop_is_used_last():
+    """Load: workers that crash and restart every second. Each urgent gang with a
+    member on such a worker had to restart.
     """
     flapping = entry("w1", address="ip:9")
     world = PlannerHarness(flapping, entry("w2"))
@@ -384,7 +392,7 @@
     world.add(request("j", step(gpu=1)))
     (order,) = world.plan_starts()
     assert order.worker == "w2"
-    # Born again under its own name, within seconds: left alone for a while.
+    # It restarts under the same identifier within seconds, so it is quarantined.
     world.report("w1b", born=7)
     world.report("w1b", born=8)
     world.report("w2", running=[running(order)])
@@ -393,8 +401,8 @@
 
 
 def test_nothing_starts_while_no_lease_could_be_granted():
-    """Load: the store is away for longer than the leases on workers last; each start
-    was refused as too late, again and again.
+    """Load: the store is unavailable for longer than worker leases last. Workers
+    rejected each start as late, and it was retried without end.
     """
     world = PlannerHarness(entry("w1"))
     world.report("w1")
@@ -404,9 +412,9 @@
     assert len(world.plan_starts()) == 1
 
 
-def test_members_that_wait_for_slower_ones_are_not_taken_for_stalled():
-    """Calm grown day: uneven gangs on workers of unlike speed were stopped close to
-    their end, and four starts in a row threw away 20 workers' work.
+def test_members_that_wait_for_slower_ones_do_not_count_as_stalled():
+    """Guards against false stall detection: gangs with uneven members on workers of
+    different speed were stopped close to their end, up to four times in a row.
     """
     world = PlannerHarness(entry("w1"), entry("w2"))
     for name in ("w1", "w2"):
@@ -422,7 +430,7 @@
         assert world.plan() == []
 
 
-def test_a_lasting_task_starts_again_however_it_ends():
+def test_a_long_running_task_restarts_however_it_ends():
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(long_running=True)))
@@ -436,7 +444,7 @@
     assert world.state("j") is JobState.RUNNING
 
 
-def test_members_of_a_rack_bound_gang_share_a_rack():
+def test_members_of_a_single_rack_gang_share_a_rack():
     workers = [entry(f"w{number}", f"r{number % 2}") for number in range(4)]
     world = PlannerHarness(*workers)
     for each in workers:
@@ -448,7 +456,7 @@
     assert len(racks) == 1
 
 
-def test_tasks_spread_as_far_as_asked():
+def test_tasks_per_worker_are_limited():
     world = PlannerHarness(entry("w1"), entry("w2"))
     for name in ("w1", "w2"):
         world.report(name)
@@ -456,7 +464,7 @@
     assert sorted(order.worker for order in world.plan_starts()) == ["w1", "w2"]
 
 
-def test_progress_names_gangs_by_one_record():
+def test_progress_holds_one_record_per_gang():
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step(2, gang=True)))
@@ -466,9 +474,9 @@
     assert progress.units == {(0, 0, GANG_INDEX): UnitProgress(False, 1)}
 
 
-def test_what_is_being_stopped_of_an_ended_job_still_takes_its_room():
-    """Guards against LIMIT of hunt-d7e2-31: a planner that took over counted the
-    runs of a cancelled job as nothing.
+def test_a_run_being_stopped_of_a_finished_job_holds_its_resources():
+    """Guards against overcommitted workers: after a takeover the planner did not count
+    the resources of a cancelled job's runs.
     """
     world = PlannerHarness(entry("w1"), inherited_revision=200)
     world.add(
@@ -480,7 +488,7 @@
     assert world.plan_starts() == []
 
 
-def test_a_run_of_an_unknown_job_is_taken_to_fill_its_worker():
+def test_a_run_of_an_unknown_job_counts_as_the_whole_worker():
     world = PlannerHarness(entry("w1"), inherited_revision=200)
     world.report("w1", running=[RunningTask(TaskName("gone", 0, 0, 0), 1, "", 5.0)])
     world.add(request("j", step()))
@@ -488,8 +496,8 @@
 
 
 def test_a_failure_seen_after_another_member_of_the_gang_is_counted():
-    """Guards against BUDGET of grown mlac trouble-1: at a takeover one member was
-    adopted as running before the other's failure was listed.
+    """Guards against a missed failure: at a takeover one member was adopted as running
+    before the failure of the other was listed.
     """
     world = PlannerHarness(entry("w1"), entry("w2"), inherited_revision=200)
     progress = JobProgress(
@@ -501,9 +509,9 @@
     assert world.state("j") is JobState.FAILED
 
 
-def test_a_worker_known_to_the_earlier_planner_alone_is_waited_for():
-    """Guards against TWICE 13 of mix 493721912419 (mlac): the worker's entry had
-    lapsed behind a cut, and the earlier planner was cut off from the store.
+def test_a_worker_known_only_from_the_stored_roster_is_waited_for():
+    """Guards against a second run: the registration of an unreachable worker had
+    expired, and the earlier planner had lost its connection to the store.
     """
     world = PlannerHarness(entry("w1"), inherited_revision=200, inherited_until=12.0)
     world.planner.add_unregistered_worker("w2", now=0.0)
@@ -514,7 +522,7 @@
     assert len(world.plan_starts()) == 1
 
 
-def test_a_worker_is_used_only_after_a_later_planner_would_ask_it():
+def test_a_worker_is_used_only_once_it_is_in_the_stored_roster():
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     world.add(request("j", step()))
@@ -522,9 +530,9 @@
     assert world.planner.plan(now=0.0, unix_s=START_UNIX_S) == []
 
 
-def test_work_that_can_still_be_in_time_goes_before_work_that_is_late():
-    """Load: more urgent gangs than the pool holds; first come first served made
-    each of them a little late instead of some of them.
+def test_a_job_that_can_meet_its_objective_is_placed_before_a_late_one():
+    """Load: more urgent gangs than the pool holds. In order of arrival each of them
+    was a little late, instead of only some of them.
     """
     world = PlannerHarness(entry("w1"))
     world.report("w1")
@@ -536,7 +544,7 @@
     assert [order.task.job for order in world.plan_starts()] == ["fresh"]
 
 
-def test_the_least_slack_goes_first_within_a_priority():
+def test_the_least_slack_is_placed_first_within_a_priority():
     world = PlannerHarness(entry("w1"))
     world.report("w1")
     long = step(gpu=8, gang=True)._replace(estimate_s=20.0)
@@ -545,9 +553,9 @@
     assert [order.task.job for order in world.plan_starts()] == ["short"]
 
 
-def test_a_full_pool_spares_idle_workers_for_urgent_gangs():
-    """Load: batch work fills the pool between two urgent gangs, and each of these
-    throws others' work away.
+def test_a_full_pool_sets_idle_workers_aside_for_urgent_gangs():
+    """Load: batch work fills the pool between urgent gangs, and each of these preempts
+    other work.
     """
     workers = [entry(f"w{number}") for number in range(8)]
     world = PlannerHarness(*workers)
@@ -562,8 +570,8 @@
     assert [order.task.job for order in world.plan_starts()] == ["urgent"]
 
 
-def test_a_slowed_worker_is_found_by_comparison_and_used_last():
-    """Load: one slowed worker holds up every gang that it has a member of."""
+def test_a_slow_worker_is_detected_by_comparison_and_used_last():
+    """Load: one slow worker delays every gang that has a member on it."""
     workers = [entry(f"w{number}") for number in range(4)]
     world = PlannerHarness(*workers)
     for each in workers:
@@ -586,8 +594,8 @@
     assert slow not in {order.worker for order in world.plan_starts()}
 
 
-def test_a_step_that_needs_permission_is_asked_for_and_carries_its_ticket():
-    """Guards against starts that every worker of such a queue rejects."""
+def test_a_step_that_needs_permission_starts_with_its_ticket():
+    """Guards against starts without a ticket, which workers of such a queue reject."""
     world = PlannerHarness(entry("w1"), entry("w2"))
     for name in ("w1", "w2"):
         world.report(name)
@@ -607,9 +615,9 @@
     assert world.planner.advice_requests[-1].workers == ("w2",)
 
 
-def test_a_rack_bound_gang_waits_for_its_rack_while_idle_workers_are_spared():
-    """Load: a wide gang in a busy pool. Workers spared for urgent work made its rack
-    look too small, so that it ran across racks at a third of its speed.
+def test_a_single_rack_gang_waits_while_idle_workers_are_set_aside():
+    """Load: a wide gang in a busy pool. With the workers set aside for urgent work no
+    rack seemed large enough, so it ran across racks at a third of its speed.
     """
     workers = [entry(f"w{number}", f"r{number // 4}") for number in range(16)]
     world = PlannerHarness(*workers)
@@ -623,9 +631,10 @@
     assert world.plan_starts() == []
 
 
-def test_a_rack_bound_gang_waits_although_half_of_the_pool_is_idle_in_pieces():
-    """Load: rack-bound gangs in a pool that is busy in pieces. Across racks each runs
-    three times as long, and anjo-motions lost a tenth of its worth.
+def test_a_single_rack_gang_waits_while_idle_capacity_is_fragmented():
+    """Load: gangs that need one rack in a pool whose free capacity is fragmented.
+    Across racks each runs three times as long, which cost one queue a tenth of its
+    score.
     """
     workers = [entry(f"w{number}", f"r{number // 4}") for number in range(16)]
     world = PlannerHarness(*workers)
@@ -642,16 +651,18 @@
     assert world.plan_starts() == []
 
 
-def test_a_guaranteed_gang_takes_two_racks_when_none_can_be_cleared():
-    """Guards against RECLAIM: room made across racks was never used."""
+def test_a_guaranteed_gang_uses_two_racks_when_none_can_be_cleared():
+    """Guards against a missed guarantee: capacity freed across racks was never used."""
     workers = [entry(f"w{number}", f"r{number // 2}") for number in range(4)]
     world = PlannerHarness(*workers, guaranteed=16)
     for each in workers:
         world.report(each.worker)
-    lasting = [
+    long_running = [
         step(gpu=8, long_running=True)._replace(data_rack=f"r{rack}") for rack in (0, 1)
     ]
-    world.add(request("lasting", *lasting, route=queue("batch", 2), account="b"))
+    world.add(
+        request("long-running", *long_running, route=queue("batch", 2), account="b")
+    )
     world.add(request("batch", step(2, gpu=8), route=queue("batch", 2), account="b"))
     orders = world.plan_starts()
     assert len(orders) == 4
--- a/libs/planner/tests/test_upkeep.py
+++ b/libs/planner/tests/test_upkeep.py
@@ -1,4 +1,4 @@
-"""Waves of upkeep: never too many machines down, never a lasting step too short."""
+"""Tests of maintenance waves: limits on machines down and unavailable tasks."""
 
 import asyncio
 from types import SimpleNamespace
@@ -18,11 +18,11 @@
 )
 
 
-def listed(*names, down=()):
+def machines_by_name(*names, down=()):
     return {name: Machine(name, f"i-{name}", name not in down) for name in names}
 
 
-def free(_machine):
+def no_cost(_machine):
     return 0.0
 
 
@@ -30,60 +30,64 @@
     return Wave(1, frozenset(machines), duration_s, most_down)
 
 
-def test_no_more_machines_go_down_than_the_operator_allows():
-    """Guards against LIMIT: a machine that may be down counts until it is back."""
-    book = WaveState(wave("a", "b"), ())
-    assert book.select(listed("a", "b"), free, 0.0) == ["a"]
-    book.ordered["a"] = "i-a"
-    assert book.select(listed("a", "b"), free, 1.0) == []
-    book.apply_outcome("a", UpkeepOutcome.BEGUN, 1.0)
-    assert book.select(listed("a", "b"), free, 1.5) == []
-    assert book.select(listed("a", "b", down="a"), free, 3.0) == []
-    assert book.select(listed("a", "b"), free, 5.0) == ["b"]
+def test_no_more_machines_go_down_than_allowed():
+    """Guards against too many machines down: one counts until it is certainly back."""
+    wave_state = WaveState(wave("a", "b"), ())
+    assert wave_state.select(machines_by_name("a", "b"), no_cost, 0.0) == ["a"]
+    wave_state.ordered["a"] = "i-a"
+    assert wave_state.select(machines_by_name("a", "b"), no_cost, 1.0) == []
+    wave_state.apply_outcome("a", UpkeepOutcome.BEGUN, 1.0)
+    assert wave_state.select(machines_by_name("a", "b"), no_cost, 1.5) == []
+    assert wave_state.select(machines_by_name("a", "b", down="a"), no_cost, 3.0) == []
+    assert wave_state.select(machines_by_name("a", "b"), no_cost, 5.0) == ["b"]
 
 
-def test_an_order_of_an_earlier_planner_counts_until_it_is_answered():
-    """Guards against LIMIT: an order without an answer may be carried out late."""
-    book = WaveState(wave("a", "b"), ["a"])
-    assert book.select(listed("a", "b"), free, 0.0) == []
-    assert book.unanswered(listed("a", "b")) == ["a"]
+def test_an_order_of_an_earlier_planner_counts_until_its_result_is_known():
+    """Guards against too many machines down: unanswered orders may take effect late."""
+    wave_state = WaveState(wave("a", "b"), ["a"])
+    assert wave_state.select(machines_by_name("a", "b"), no_cost, 0.0) == []
+    assert wave_state.unanswered(machines_by_name("a", "b")) == ["a"]
 
 
-def test_a_wave_is_complete_when_every_machine_that_stays_has_begun():
-    """Guards against MIXED; a machine that was removed is not waited for."""
-    book = WaveState(wave("a", "b"), ())
-    book.apply_outcome("a", UpkeepOutcome.BEGUN, 0.0)
-    assert not book.complete(listed("a", "b"))
-    assert book.complete(listed("a"))
+def test_a_wave_is_complete_when_all_remaining_machines_have_begun():
+    """Guards against a wave reported complete too early or, after the removal of a
+    machine, never.
+    """
+    wave_state = WaveState(wave("a", "b"), ())
+    wave_state.apply_outcome("a", UpkeepOutcome.BEGUN, 0.0)
+    assert not wave_state.complete(machines_by_name("a", "b"))
+    assert wave_state.complete(machines_by_name("a"))
 
 
-def test_busy_machines_are_tried_again():
-    book = WaveState(wave("a"), ["a"])
-    book.apply_outcome("a", UpkeepOutcome.BUSY, 0.0)
-    assert book.select(listed("a"), free, 1.0) == ["a"]
+def test_busy_machines_are_retried():
+    wave_state = WaveState(wave("a"), ["a"])
+    wave_state.apply_outcome("a", UpkeepOutcome.BUSY, 0.0)
+    assert wave_state.select(machines_by_name("a"), no_cost, 1.0) == ["a"]
 
 
-def test_work_may_end_before_its_machine_goes_down():
-    book = WaveState(wave("a", "b", duration_s=20.0), ())
+def test_a_machine_drains_before_it_goes_down():
+    wave_state = WaveState(wave("a", "b", duration_s=20.0), ())
     cost = {"a": 50.0, "b": 80.0}
-    machines = listed("a", "b")
+    machines = machines_by_name("a", "b")
 
-    def price(machine):
+    def machine_cost(machine):
         return cost[machine.name]
 
-    assert book.select(machines, price, 0.0) == []
-    assert set(book.draining) == {"a"}
-    assert book.select(machines, price, book.drain_s + 0.1) == ["a"]
+    assert wave_state.select(machines, machine_cost, 0.0) == []
+    assert set(wave_state.draining) == {"a"}
+    assert wave_state.select(machines, machine_cost, wave_state.drain_s + 0.1) == ["a"]
     cost["a"] = 0.0
-    assert book.select(machines, price, 0.5) == ["a"]
+    assert wave_state.select(machines, machine_cost, 0.5) == ["a"]
 
 
-def test_a_lasting_step_keeps_the_tasks_that_it_may_not_miss():
-    """Guards against AVAIL: two tasks of one step on machines of one wave."""
+def test_a_long_running_step_keeps_its_required_tasks():
+    """Guards against too many unavailable tasks: two tasks of one step run on machines
+    of one wave.
+    """
     world = PlannerHarness(entry("w1"), entry("w2"), entry("w3"))
     world.report_all()
-    lasting = step(3, gpu=8, long_running=True, max_unavailable=1)
-    world.add(request("serving", lasting, route=queue("batch", 2)))
+    long_running_step = step(3, gpu=8, long_running=True, max_unavailable=1)
+    world.add(request("serving", long_running_step, route=queue("batch", 2)))
     world.start_all()
     workers = world.planner.workers
     assert takedown_cost(workers["w1"], 1.0) is None
@@ -95,12 +99,12 @@
     assert takedown_cost(workers["w1"], 1.0) is None
 
 
-class Calls:
-    """Machines that take half a second for their upkeep; answers may be lost."""
+class FakeMachines:
+    """Fake machines whose maintenance takes half a second; replies may be lost."""
 
     def __init__(self, names, lost=0):
         self.machines = {name: Machine(name, f"i-{name}", True) for name in names}
-        self.had = set()
+        self.taken_down = set()
         self.lost = lost
         self.most_down = 0
         self.fenced = False
@@ -111,8 +115,8 @@
     async def begin_upkeep(self, machine, wave, *, token):
         if self.fenced:
             return UpkeepOutcome.FENCED
-        if machine not in self.had:
-            self.had.add(machine)
+        if machine not in self.taken_down:
+            self.taken_down.add(machine)
             self.machines[machine] = self.machines[machine]._replace(up=False)
             asyncio.get_running_loop().call_later(0.5, self._back, machine)
         down = sum(not each.up for each in self.machines.values())
@@ -126,8 +130,8 @@
         self.machines[machine] = Machine(machine, f"i-{machine}-2", True)
 
 
-class Notes:
-    """A journal that stores at once."""
+class ImmediateStateWriter:
+    """A state writer that stores rows at once."""
 
     def __init__(self):
         self.rows = {}
@@ -140,7 +144,7 @@
         return True
 
 
-def upkeep(calls, notes, world, failures=0):
+def upkeep(calls, writer, world, failures=0):
     left = iter([True] * failures)
 
     async def read(table, *, timeout_s):
@@ -151,7 +155,7 @@
     return UpkeepController(
         SimpleNamespace(read=read),
         world.planner,
-        notes,
+        writer,
         calls,
         token=7,
         waves=lambda: (wave("a", "b", "c"),),
@@ -172,49 +176,52 @@
 
 @pytest.mark.parametrize("lost", [0, 2])
 def test_a_wave_is_carried_out_one_machine_at_a_time(lost):
-    async def scene():
-        world, notes = PlannerHarness(entry("i-a"), entry("i-b"), entry("i-c")), Notes()
-        calls = Calls("abc", lost)
-        running = asyncio.create_task(upkeep(calls, notes, world).run())
+    async def run_scenario():
+        world, writer = (
+            PlannerHarness(entry("i-a"), entry("i-b"), entry("i-c")),
+            ImmediateStateWriter(),
+        )
+        calls = FakeMachines("abc", lost)
+        running = asyncio.create_task(upkeep(calls, writer, world).run())
         await asyncio.sleep(1.2)
-        assert notes.rows["status", "1"] == b"0"
+        assert writer.rows["status", "1"] == b"0"
         await asyncio.sleep(30)
         running.cancel()
-        assert calls.had == set("abc")
+        assert calls.taken_down == set("abc")
         assert calls.most_down == 1
-        assert notes.rows["status", "1"] == b"1"
-        # What ran on the machines has ended with their workers.
+        assert writer.rows["status", "1"] == b"1"
+        # The runs on the machines have ended with their workers.
         assert not world.planner.workers
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
 
 
-def test_a_wave_waits_for_the_store_to_answer():
-    """Guards against a tenure that ends because one read failed."""
+def test_a_wave_waits_until_the_store_is_available():
+    """Guards against a lease term that ends because one read failed."""
 
-    async def scene():
-        world, notes = PlannerHarness(entry("i-a")), Notes()
-        calls = Calls("abc")
-        running = asyncio.create_task(upkeep(calls, notes, world, failures=2).run())
+    async def run_scenario():
+        world, writer = PlannerHarness(entry("i-a")), ImmediateStateWriter()
+        calls = FakeMachines("abc")
+        running = asyncio.create_task(upkeep(calls, writer, world, failures=2).run())
         await asyncio.sleep(30)
         running.cancel()
-        assert calls.had == set("abc")
+        assert calls.taken_down == set("abc")
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
 
 
-def test_a_deposed_planner_gives_no_orders():
-    """Guards against ONE: two holders that order one machine in turn."""
+def test_a_deposed_planner_sends_no_orders():
+    """Guards against two planners that send orders to the same machine."""
 
-    async def scene():
-        world, notes = PlannerHarness(entry("i-a")), Notes()
-        calls = Calls("abc")
-        notes.lease_is_fresh = False
-        running = asyncio.create_task(upkeep(calls, notes, world).run())
+    async def run_scenario():
+        world, writer = PlannerHarness(entry("i-a")), ImmediateStateWriter()
+        calls = FakeMachines("abc")
+        writer.lease_is_fresh = False
+        running = asyncio.create_task(upkeep(calls, writer, world).run())
         await asyncio.sleep(5)
-        assert not calls.had
-        notes.lease_is_fresh = calls.fenced = True
+        assert not calls.taken_down
+        writer.lease_is_fresh = calls.fenced = True
         with pytest.raises(WorkerFenced):
             await asyncio.wait_for(running, 5)
 
-    run_virtual(scene())
+    run_virtual(run_scenario())
