--- a/libs/membership/src/bilberryhitch_membership/membership.py
+++ b/libs/membership/src/bilberryhitch_membership/membership.py
@@ -27,7 +27,8 @@
 HEARTBEAT_INTERVAL_S = 0.5
 DRAIN_POLL_INTERVAL_S = 1.0
 HOST_LIST_POLL_INTERVAL_S = 2.0
-STARTUP_BROADCAST_S = 3.0  # after its start a process sends heartbeats to every peer
+# For this time after its start a process sends its heartbeats to every peer.
+STARTUP_BROADCAST_S = 3.0
 MAX_HOST_LIST_LAG_S = 60.0
 HOST_RETENTION_S = 3600.0
 EXPIRY_INTERVAL_S = 60.0
@@ -268,15 +269,15 @@
 
     async def _poll_host_list(self) -> None:
         self._last_list_poll += 1
-        number = self._last_list_poll
+        poll_number = self._last_list_poll
         try:
             hosts = await self._host_list.list_hosts()
         except StoreError:
             self._ask_host_list()
             raise
-        if number < self._applied_list_poll:
+        if poll_number < self._applied_list_poll:
             return  # the answer to a later poll was applied before this one
-        self._applied_list_poll = number
+        self._applied_list_poll = poll_number
         self._apply_list(hosts)
 
     def _ask_host_list(self) -> None:
--- a/libs/requests/src/bilberryhitch_requests/dispatch.py
+++ b/libs/requests/src/bilberryhitch_requests/dispatch.py
@@ -46,6 +46,8 @@
         """Run one attempt, if :meth:`RequestRecord.grant` allows it.
 
         The slot is released in any case.
+
+        :returns: the outcome, or how the attempt failed
         """
         attempt_id = self._new_id()
         if not record.grant(record.run_id or attempt_id):
--- a/libs/requests/src/bilberryhitch_requests/executor_client.py
+++ b/libs/requests/src/bilberryhitch_requests/executor_client.py
@@ -172,7 +172,7 @@
             raise ExecutorLost(host, "answer to another attempt")
         if length > limit:
             raise ExecutorLost(host, "answer longer than the limit of the route")
-        body = await _read_whole(response, length)
+        body = await _read_body(response, length)
         answer = check_answer(answer._replace(body=body), host, attempt_id, limit)
         if answer.status == NOT_ACCEPTED_STATUS and body == NOT_ACCEPTED_BODY:
             raise ExecutorNotAccepted(host, "no free slot or connection")
@@ -182,7 +182,7 @@
         raise
 
 
-async def _read_whole(response: aiohttp.ClientResponse, length: int) -> bytes:
+async def _read_body(response: aiohttp.ClientResponse, length: int) -> bytes:
     chunks = bytearray()
     async for chunk in response.content.iter_chunked(CHUNK_BYTES):
         chunks += chunk
--- a/libs/requests/src/bilberryhitch_requests/forwarding.py
+++ b/libs/requests/src/bilberryhitch_requests/forwarding.py
@@ -179,6 +179,7 @@
         :param timeout_s: maximum run time at the owner
         :param idempotent: whether a granted run may be abandoned as soon as its
             owner has failed, because the request may be retried
+        :returns: the outcome, or how the attempt failed
         """
         forward_id = record.open_forward(host)
         message = ForwardRequest(call, forward_id, wait_s)
--- a/libs/requests/src/bilberryhitch_requests/request_records.py
+++ b/libs/requests/src/bilberryhitch_requests/request_records.py
@@ -158,31 +158,31 @@
     ) -> None:
         self._max_records = max_records
         self._max_body_bytes = max_body_bytes
-        self._records: dict[str, RequestRecord] = {}
+        self._by_id: dict[str, RequestRecord] = {}
         self._finished: OrderedDict[str, int] = OrderedDict()
         self._body_bytes = 0
 
     def __len__(self) -> int:
-        return len(self._records)
+        return len(self._by_id)
 
     def open(self, record_id: str, client_account: str) -> RequestRecord:
         """Create and return the record of a new request."""
         record = RequestRecord(record_id, client_account)
-        record.on_finish = self._evict_finished
-        self._records[record_id] = record
+        record.on_finish = self._on_record_finish
+        self._by_id[record_id] = record
         return record
 
     def get(self, record_id: str) -> RequestRecord | None:
         """Return the record, or ``None`` if it does not exist or was evicted."""
-        return self._records.get(record_id)
+        return self._by_id.get(record_id)
 
     def drop(self, record_id: str) -> None:
         """Remove a record."""
-        self._records.pop(record_id, None)
+        self._by_id.pop(record_id, None)
         self._body_bytes -= self._finished.pop(record_id, 0)
 
-    def _evict_finished(self, record: RequestRecord) -> None:
-        if record.handle not in self._records:
+    def _on_record_finish(self, record: RequestRecord) -> None:
+        if record.handle not in self._by_id:
             return
         size = len(record.current_outcome().body)
         self._body_bytes += size - self._finished.pop(record.handle, 0)
--- a/libs/requests/src/bilberryhitch_requests/service.py
+++ b/libs/requests/src/bilberryhitch_requests/service.py
@@ -88,7 +88,7 @@
         )
         self._dispatcher = Dispatcher(executors, self._slots, new_id=new_id)
         self._forwarder = Forwarder(identity.data_centre, peers, membership)
-        self._outcomes = RequestRecords(outcome_limit)
+        self._records = RequestRecords(outcome_limit)
         self._forwarded = ForwardedRequests(
             self._forwarder,
             self._dispatcher,
@@ -105,7 +105,7 @@
         )
         claims = Claims(tables, now=now, new_id=new_id)
         self._status_lookup = StatusLookup(
-            identity, self._outcomes, self._forwarded, self._forwarder, claims
+            identity, self._records, self._forwarded, self._forwarder, claims
         )
         self._keyed = KeyedRequests(
             claims, self._spawn, self._status_lookup.known_outcome
@@ -153,7 +153,7 @@
         if self._closing:
             return Outcome("not_run", detail="shutting down", retry_after_s=1.0)
         handle = make_handle(self._identity, self._new_id(), keyed=bool(call.key))
-        record = self._outcomes.open(handle, call.client_account)
+        record = self._records.open(handle, call.client_account)
         self._spawn(self._serve(call, route, record))
         try:
             async with asyncio.timeout(route.timeout_s):
@@ -216,10 +216,10 @@
         """
         if host == self._identity.host:
             return
-        heard = self._peer_usage.get(host, {})
-        self._peer_usage[host] = {**heard, **usage}
+        known = self._peer_usage.get(host, {})
+        self._peer_usage[host] = {**known, **usage}
         for name, total_s in usage.items():
-            before_s = heard.get(name, 0.0)
+            before_s = known.get(name, 0.0)
             # A total that decreased comes from a new incarnation, which starts at 0.
             cost_s = total_s - before_s if total_s >= before_s else total_s
             pool, _, account = name.partition("/")
--- a/libs/requests/src/bilberryhitch_requests/status_lookup.py
+++ b/libs/requests/src/bilberryhitch_requests/status_lookup.py
@@ -18,13 +18,13 @@
     def __init__(
         self,
         identity: Identity,
-        outcomes: RequestRecords,
+        records: RequestRecords,
         forwarded: ForwardedRequests,
         forwarder: Forwarder,
         claims: Claims,
     ) -> None:
         self._identity = identity
-        self._outcomes = outcomes
+        self._records = records
         self._forwarded = forwarded
         self._forwarder = forwarder
         self._claims = claims
@@ -78,13 +78,13 @@
         parsed = parse_handle(handle)
         if parsed is None or not parsed.belongs_to(self._identity):
             return self._forwarded.status(ask.handle, forward_id, ask.client_account)
-        record = self._outcomes.get(handle)
+        record = self._records.get(handle)
         if record is None or record.client_account != ask.client_account:
             return None
         return answer_grant_request(record, forward_id, ask.handle, sender)
 
     def _belongs_to_another(self, handle: str, client_account: str) -> bool:
-        record = self._outcomes.get(handle)
+        record = self._records.get(handle)
         return record is not None and record.client_account != client_account
 
     async def _own_outcome(self, handle: str, client_account: str) -> Outcome | None:
@@ -92,7 +92,7 @@
 
         If the result of a forwarded run was lost, its owner is asked.
         """
-        record = self._outcomes.get(handle)
+        record = self._records.get(handle)
         if record is None or record.client_account != client_account:
             return None
         if not record.is_final and record.lost_run is not None:
--- a/libs/requests/tests/test_request_records.py
+++ b/libs/requests/tests/test_request_records.py
@@ -39,12 +39,12 @@
 
 
 def test_oldest_finished_record_is_evicted_and_unfinished_ones_are_kept():
-    outcomes = RequestRecords(max_records=1, max_body_bytes=100)
-    open_record = outcomes.open("open", "acme")
+    records = RequestRecords(max_records=1, max_body_bytes=100)
+    open_record = records.open("open", "acme")
     for name in ("a", "b"):
-        outcomes.open(name, "acme").finish(Outcome("completed", b"x"))
-    assert outcomes.get("a") is None
-    assert outcomes.get("b") is not None
-    assert outcomes.get("open") is open_record
-    outcomes.open("big", "acme").finish(Outcome("completed", b"x" * 101))
-    assert len(outcomes) == 1
+        records.open(name, "acme").finish(Outcome("completed", b"x"))
+    assert records.get("a") is None
+    assert records.get("b") is not None
+    assert records.get("open") is open_record
+    records.open("big", "acme").finish(Outcome("completed", b"x" * 101))
+    assert len(records) == 1
