--- a/libs/requests/src/bilberryhitch_requests/request_runner.py
+++ b/libs/requests/src/bilberryhitch_requests/request_runner.py
@@ -16,7 +16,7 @@
 from .retries import RetryBudgets
 from .slots import SlotLease
 
-# Jitter that spreads the retries of requests refused by a full executor or peer.
+# Jitter before a request that a full executor or peer refused is queued again.
 MAX_REQUEUE_DELAY_S = 0.05
 
 
--- a/libs/requests/src/bilberryhitch_requests/retries.py
+++ b/libs/requests/src/bilberryhitch_requests/retries.py
@@ -4,7 +4,8 @@
 
 RETRIES_PER_REQUEST = 0.1
 MAX_TOKENS = 100.0
-# Allows an account with few requests one retry before it has earned a token.
+# Allows an account with few requests to retry its first failure before it has earned
+# a token.
 STARTING_TOKENS = 1.0
 BACKOFF_BASE_S = 0.05
 MAX_BACKOFF_S = 2.0
@@ -13,17 +14,22 @@
 class RetryBudgets:
     """Token buckets that limit retries per client account.
 
-    :param share: tokens earned per request; a retry costs one token
+    :param retries_per_request: tokens earned per request; a retry costs one token
     """
 
-    def __init__(self, rng: random.Random, share: float = RETRIES_PER_REQUEST) -> None:
+    def __init__(
+        self, rng: random.Random, retries_per_request: float = RETRIES_PER_REQUEST
+    ) -> None:
         self._rng = rng
-        self._ratio = share
+        self._retries_per_request = retries_per_request
         self._tokens: dict[str, float] = {}
 
     def record_request(self, client_account: str) -> None:
         """Add the tokens earned by one request of the account."""
-        tokens = self._tokens.get(client_account, STARTING_TOKENS) + self._ratio
+        tokens = (
+            self._tokens.get(client_account, STARTING_TOKENS)
+            + self._retries_per_request
+        )
         self._tokens[client_account] = min(tokens, MAX_TOKENS)
 
     def try_spend(self, client_account: str) -> bool:
