--- a/libs/planner/src/bilberryhitch_planner/cluster_state.py
+++ b/libs/planner/src/bilberryhitch_planner/cluster_state.py
@@ -119,11 +119,11 @@
         unix_s: float,
     ) -> None:
         """Release the resources of an ended run and update its unit."""
-        worker.drop_run(run)
+        worker.remove_run(run)
         if how is EndKind.DONE:
-            worker.note_success()
+            worker.record_success()
         elif how is EndKind.FAILED:
-            worker.note_failure(now)
+            worker.record_failure(now)
         unit = run.unit
         if unit is None:
             return
@@ -146,7 +146,7 @@
         if unit.done:
             return
         self.dirty.add(job.request.job)
-        if not job.begun:
+        if not job.started:
             job.state = JobState.RUNNING
         if how is EndKind.DONE and not step.step.long_running:
             self._complete(unit, now, unix_s)
@@ -239,7 +239,7 @@
         # The missing members of a gang may be on workers that cannot be reached.
         unit.adopted = len(unit.runs) == len(unit.task_indexes)
         unit.step.waiting.pop(unit.index, None)
-        if not job.begun:
+        if not job.started:
             job.state = JobState.RUNNING
         self.dirty.add(running.task.job)
         return run
@@ -282,7 +282,7 @@
             worker=run.worker,
             percent=run.percent,
         )
-        worker.note_failure(worker.answered_at)
+        worker.record_failure(worker.answered_at)
         for each in unit.runs.values():
             self.order_stop(each)
 
--- a/libs/planner/src/bilberryhitch_planner/leader_election.py
+++ b/libs/planner/src/bilberryhitch_planner/leader_election.py
@@ -99,23 +99,23 @@
         try:
             return await self._run()
         finally:
-            self._drop_probe()
+            self._cancel_probe()
 
     async def _run(self) -> LeaderLease:
-        known = False
+        row_known = False
         while True:
             try:
-                if not known:
+                if not row_known:
                     await self._read()
-                    known = True
-                leader_lease = await self._try_once()
+                    row_known = True
+                leader_lease = await self._try_acquire()
                 if leader_lease is not None:
                     return leader_lease
             except HistoryLost:
-                known = False
+                row_known = False
             except STORE_ERRORS:
                 # Without the store, a missing renewal says nothing about the holder.
-                known = False
+                row_known = False
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _read(self) -> None:
@@ -123,7 +123,7 @@
         self._observe_row(snapshot.rows[0] if snapshot.rows else None)
         self._revision = snapshot.revision
 
-    async def _try_once(self) -> LeaderLease | None:
+    async def _try_acquire(self) -> LeaderLease | None:
         lease = decode_lease(self._row)
         if self._row is not None and lease.holder == self._holder:
             # An earlier acquisition succeeded, but its response was lost.
@@ -162,7 +162,7 @@
             (watch, probe) if probe else (watch,), return_when=asyncio.FIRST_COMPLETED
         )
         if not watch.done():
-            self._drop_probe()
+            self._cancel_probe()
             log(events.PLANNER_PROCESS_ENDED, holder=lease.holder)
             # Other candidates detect the end at the same moment: wait for a random
             # time and stop if one of them acquires the lease.
@@ -173,7 +173,7 @@
     def _probe_for(self, address: str) -> asyncio.Task[None] | None:
         """Return the task that finishes when the process at an address has ended."""
         if address != self._probed:
-            self._drop_probe()
+            self._cancel_probe()
         if not address:
             return None
         if self._probe is None:
@@ -181,12 +181,12 @@
             self._probed = address
         return self._probe
 
-    def _drop_probe(self) -> None:
+    def _cancel_probe(self) -> None:
         if self._probe is not None:
             self._probe.cancel()
         self._probe, self._probed = None, ""
 
-    async def _commit_acquisition(self, former: LeaseRow) -> LeaderLease | None:
+    async def _commit_acquisition(self, previous: LeaseRow) -> LeaderLease | None:
         value = LeaseRow(self._holder, 0, 0, self._address)
         present = self._row.revision if self._row else 0
         self._tried_at = time.monotonic()
@@ -202,7 +202,7 @@
         log(
             events.PLANNER_LEASE_WON,
             fencing_token=revision,
-            former=former.holder,
+            former=previous.holder,
             former_silent_s=round(time.monotonic() - self._changed_at, 3),
         )
         return self._leader_lease(revision)
--- a/libs/planner/src/bilberryhitch_planner/leading_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/leading_planner.py
@@ -277,7 +277,7 @@
         present = {row.key for row in rows}
         for name in list(self.planner.workers):
             if name not in present:
-                self.planner.unlist_worker(name, now=time.monotonic())
+                self.planner.mark_unregistered(name, now=time.monotonic())
         for row in rows:
             self._apply_worker_row(row)
 
@@ -285,7 +285,7 @@
         now = time.monotonic()
         if row.removed:
             log(events.WORKER_UNLISTED, worker=row.key, revision=row.revision)
-            self.planner.unlist_worker(row.key, now=now)
+            self.planner.mark_unregistered(row.key, now=now)
             self._changed()
             return
         entry = self._decode_worker(row)
--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -170,7 +170,7 @@
         if job is not None and not job.finished:
             self._state.finish_job(job, JobState.CANCELLED, unix_s)
 
-    def forget_job(self, name: str) -> None:
+    def remove_job(self, name: str) -> None:
         """Remove a finished job whose rows have been deleted."""
         self.jobs.pop(name, None)
 
@@ -199,12 +199,12 @@
             )
             if now - ended_at < RESTART_MEMORY_S:
                 worker.failures = failures
-                worker.note_failure(now)
+                worker.record_failure(now)
         worker.registered = True
         worker.update_entry(entry)
         return worker
 
-    def unlist_worker(self, name: str, *, now: float) -> None:
+    def mark_unregistered(self, name: str, *, now: float) -> None:
         """Record that a worker is no longer registered; its runs may continue."""
         worker = self.workers.get(name)
         if worker is None:
@@ -249,7 +249,7 @@
             for run in list(worker.runs.values()):
                 self._state.release_run(worker, run, EndKind.LAPSED, "", now, unix_s)
             worker.last_end_sequence = 0
-            worker.note_failure(now)
+            worker.record_failure(now)
         worker.born_ms = report.born_ms
         worker.set_clock(report.clock_s, now)
         if not worker.synced:
@@ -303,7 +303,7 @@
             certain=certain,
         )
         if outcome in (StartOutcome.REFUSED, StartOutcome.NO_ROOM):
-            worker.note_refusal(now)
+            worker.record_refusal(now)
         if run.unit is not None:
             run.unit.retry_at = now + START_RETRY_DELAY_S
             permissions = self._state.permissions_of(run.unit.step)
@@ -318,7 +318,7 @@
         elif certain and outcome is not StartOutcome.UNKNOWN:
             self._state.release_run(worker, run, EndKind.STOPPED, "", now, unix_s)
         else:
-            worker.note_refusal(now)
+            worker.record_refusal(now)
             self._state.order_stop(run)
             self._state.stop_other_members(run)
 
@@ -408,7 +408,7 @@
         """Return the number of jobs that have not started, by queue name."""
         counts: dict[str, int] = {}
         for job in self.jobs.values():
-            if not job.finished and not job.begun:
+            if not job.finished and not job.started:
                 name = job.request.queue.name
                 counts[name] = counts.get(name, 0) + 1
         return counts
--- a/libs/planner/src/bilberryhitch_planner/state_writer.py
+++ b/libs/planner/src/bilberryhitch_planner/state_writer.py
@@ -121,7 +121,7 @@
         self._renewed_at = float("-inf")
         self._confirmed_at = leader_lease.acquired_at
         self._outcome_unknown = False
-        self._failing = False
+        self._writes_failing = False
         self._started_commits = 0
         self._stored_commits = 0
         self._in_flight = False
@@ -132,7 +132,7 @@
         # Jobs whose request rows are removed and whose progress rows remain.
         self._orphans: set[str] = set()
         self._changed = asyncio.Event()
-        self._advanced = asyncio.Condition()
+        self._commit_stored = asyncio.Condition()
 
     @property
     def worker_lease_limit(self) -> float:
@@ -195,8 +195,10 @@
         target = self._started_commits + (1 if unsent else 0)
         self.notify()
         try:
-            async with asyncio.timeout(timeout_s), self._advanced:
-                await self._advanced.wait_for(lambda: self._stored_commits >= target)
+            async with asyncio.timeout(timeout_s), self._commit_stored:
+                await self._commit_stored.wait_for(
+                    lambda: self._stored_commits >= target
+                )
         except TimeoutError:
             return False
         return True
@@ -266,9 +268,9 @@
         now = time.monotonic()
         names = self._pop_dirty()
         # Changes beyond the row limit are left to a later transaction.
-        whole = not self._planner.dirty
-        notes, self._pending_rows = self._pending_rows, {}
-        writes = self._progress_writes(names) + list(notes.values())
+        all_taken = not self._planner.dirty
+        pending_rows, self._pending_rows = self._pending_rows, {}
+        writes = self._progress_writes(names) + list(pending_rows.values())
         renew = holder is not None or self._outcome_unknown or self._renewal_due(now)
         if renew:
             writes.append(self._lease_write(holder))
@@ -277,7 +279,7 @@
         writes += summary + self._roster_write(roster)
         removals = self._removals() if renew else []
         self._started_commits += 1
-        begun = self._started_commits
+        commit_number = self._started_commits
         self._in_flight = True
         try:
             revision = await self._store.commit(
@@ -288,12 +290,12 @@
             )
         except CommitConflict as conflict:
             self._planner.dirty |= names
-            self._pending_rows = notes | self._pending_rows
+            self._pending_rows = pending_rows | self._pending_rows
             self._resolve_conflict(conflict)
             return
         except (StoreRefused, StoreUnknown) as error:
             self._planner.dirty |= names
-            self._pending_rows = notes | self._pending_rows
+            self._pending_rows = pending_rows | self._pending_rows
             self._note_failure(error)
             await asyncio.sleep(RETRY_PAUSE_S)
             return
@@ -309,15 +311,15 @@
             self._summary, self._summary_at = summary[0].value, now
         for removal in removals:
             self._orphans.discard(removal.key)
-            self._planner.forget_job(removal.key)
-        if self._failing:
-            self._failing = False
+            self._planner.remove_job(removal.key)
+        if self._writes_failing:
+            self._writes_failing = False
             log(events.DEPENDENCY_REGAINED, dependency="store writes")
         self._on_stored()
-        if whole:
-            async with self._advanced:
-                self._stored_commits = begun
-                self._advanced.notify_all()
+        if all_taken:
+            async with self._commit_stored:
+                self._stored_commits = commit_number
+                self._commit_stored.notify_all()
 
     def _renewal_due(self, now: float) -> bool:
         return now - self._renewed_at >= RENEWAL_PERIOD_S
@@ -383,6 +385,6 @@
     def _note_failure(self, error: StoreRefused | StoreUnknown) -> None:
         if isinstance(error, StoreUnknown):
             self._outcome_unknown = True
-        if not self._failing:
-            self._failing = True
+        if not self._writes_failing:
+            self._writes_failing = True
             log(events.DEPENDENCY_LOST, dependency="store writes", error=error)
--- a/libs/planner/src/bilberryhitch_planner/throttling.py
+++ b/libs/planner/src/bilberryhitch_planner/throttling.py
@@ -16,7 +16,7 @@
 FULL_PERCENT = 100
 # A change takes effect after about 0.1 s, and the latency is measured over 0.5 s.
 THROTTLE_DELAY_S = 0.7
-# Orders are repeated, as one may have been lost or replaced by an earlier planner's.
+# Orders are repeated: one may have been lost, or an earlier planner set the limit.
 REPEAT_INTERVAL_S = 3.0
 
 
--- a/libs/planner/src/bilberryhitch_planner/units.py
+++ b/libs/planner/src/bilberryhitch_planner/units.py
@@ -82,12 +82,12 @@
 
     @property
     def attempts_left(self) -> int:
-        """Number of further runs that may fail before the job fails."""
+        """Number of further failed runs after which the job fails."""
         return self.step.job.queue.max_attempts - len(self.failed_runs)
 
     @property
     def progress(self) -> UnitProgress:
-        """What must outlive the planner."""
+        """Progress of the unit to be stored."""
         return UnitProgress(
             self.done, self.last_run, tuple(sorted(self.failed_runs)), self.saved
         )
@@ -107,7 +107,7 @@
         self.index = index
         self.step: Step = job.request.steps[index]
         indexes = [GANG_INDEX] if self.step.gang else range(self.step.task_count)
-        known = job.initial.units
+        known = job.initial_progress.units
         self.units = {
             each: Unit(self, each, known.get((occurrence, index, each), UnitProgress()))
             for each in indexes
@@ -137,7 +137,7 @@
 class TrackedJob:
     """An accepted job.
 
-    :ivar initial: progress when this planner learned of the job
+    :ivar initial_progress: progress when this planner learned of the job
     :ivar queue: settings of its queue, as last configured
     :ivar revision: store revision of its acceptance
     :ivar inherited: an earlier planner may have started its tasks
@@ -155,7 +155,7 @@
         arrived_at: float,
     ) -> None:
         self.request = request
-        self.initial = progress
+        self.initial_progress = progress
         self.queue: Queue = request.queue
         self.state = progress.state
         self.finished_s = progress.finished_s
@@ -198,7 +198,7 @@
             yield from step.units.values()
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Whether any of its tasks has been started."""
         return self.state is not JobState.PENDING
 
@@ -219,7 +219,7 @@
         return self.request.steps[task.step].reserved_resources
 
     def progress(self) -> JobProgress:
-        """Return what must outlive the planner."""
+        """Return the progress of the job to be stored."""
         touched = {
             (unit.step.occurrence, unit.step.index, unit.index): unit.progress
             for unit in self.units
--- a/libs/planner/src/bilberryhitch_planner/workers.py
+++ b/libs/planner/src/bilberryhitch_planner/workers.py
@@ -83,7 +83,7 @@
         self.runs[run.task, run.number] = run
         self.free = self.free.minus(run.demand)
 
-    def drop_run(self, run: Run) -> None:
+    def remove_run(self, run: Run) -> None:
         """Remove a run that has certainly ended and free its resources."""
         if self.runs.pop((run.task, run.number), None) is not None:
             self.free = self.free.plus(run.demand)
@@ -102,7 +102,7 @@
         self.lease_until = max(self.lease_until, until + slow + LEASE_SLACK_S)
         return until + self._clock_offset
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Count a failed run; quarantine the worker after several in a row."""
         self.failures += 1
         self.failed_at = now
@@ -111,10 +111,10 @@
             pause = min(QUARANTINE_S * 2**over, QUARANTINE_MAX_S)
             self.paused_until = max(self.paused_until, now + pause)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Reset the failure count."""
         self.failures = 0
 
-    def note_refusal(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Pause the worker for a short time after it refused a start."""
         self.paused_until = max(self.paused_until, now + REFUSAL_PAUSE_S)
