--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -228,10 +228,10 @@
         for run in list(worker.runs.values()):
             self._state.release_run(worker, run, EndKind.LAPSED, "", now, unix_s)
 
-    def report(
+    def apply_heartbeat(
         self,
         name: str,
-        report: HeartbeatReply,
+        reply: HeartbeatReply,
         *,
         sent_at: float,
         now: float,
@@ -244,25 +244,25 @@
         worker = self.workers.get(name)
         if worker is None:
             return
-        if worker.born_ms not in (0, report.born_ms):
+        if worker.born_ms not in (0, reply.born_ms):
             # The worker restarted under the same identifier: its runs are gone.
             for run in list(worker.runs.values()):
                 self._state.release_run(worker, run, EndKind.LAPSED, "", now, unix_s)
             worker.last_end_sequence = 0
             worker.record_failure(now)
-        worker.born_ms = report.born_ms
-        worker.set_clock(report.clock_s, now)
+        worker.born_ms = reply.born_ms
+        worker.set_clock(reply.clock_s, now)
         if not worker.synced:
             worker.synced = True
-            log(events.WORKER_SYNCED, worker=name, running=len(report.running))
-        for ended in report.ended:
+            log(events.WORKER_SYNCED, worker=name, running=len(reply.running))
+        for ended in reply.ended:
             self._state.apply_ended(worker, ended, now, unix_s)
         listed = set()
-        for running in report.running:
+        for running in reply.running:
             listed.add((running.task, running.run))
             self._state.apply_running(worker, running, now)
         self._state.orders += throttle_orders(worker, now)
-        if len(report.ended) < MAX_ENDS_PER_REPLY:
+        if len(reply.ended) < MAX_ENDS_PER_REPLY:
             for key, run in list(worker.runs.items()):
                 settled = run.settled_at is not None and run.settled_at < sent_at
                 if key not in listed and settled:
--- a/libs/planner/src/bilberryhitch_planner/worker_session.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_session.py
@@ -85,7 +85,7 @@
         while self._name in self._planner.workers:
             sent_at = time.monotonic()
             try:
-                report = await self._send_heartbeat(sent_at, wait_s)
+                reply = await self._send_heartbeat(sent_at, wait_s)
             except WorkerGone:
                 self._planner.worker_gone(
                     self._name, now=time.monotonic(), unix_s=time.time()
@@ -100,9 +100,9 @@
                 await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             self._note_reachable()
-            self._planner.report(
+            self._planner.apply_heartbeat(
                 self._name,
-                report,
+                reply,
                 sent_at=sent_at,
                 now=time.monotonic(),
                 unix_s=time.time(),
@@ -111,7 +111,7 @@
             worker = self._planner.workers.get(self._name)
             shared = worker is not None and shares_processor(worker)
             wait_s = SHARED_HEARTBEAT_WAIT_S if shared else HEARTBEAT_WAIT_S
-            if report.ended and not await self._acknowledge(report):
+            if reply.ended and not await self._acknowledge(reply):
                 wait_s = 0.0
                 await asyncio.sleep(RETRY_PAUSE_S)
 
@@ -136,7 +136,7 @@
         # worker gets no further renewal, so that its lease certainly expires.
         if self._synced and not self._unreachable and limit > sent_at:
             lease = worker.lease_deadline(limit, sent_at)
-        report = await self._calls.hold(
+        reply = await self._calls.hold(
             worker.entry,
             token=self._token,
             acknowledged=self._acknowledged,
@@ -144,16 +144,16 @@
             wait_s=wait_s,
         )
         self._synced = True
-        return report
+        return reply
 
-    async def _acknowledge(self, report: HeartbeatReply) -> bool:
+    async def _acknowledge(self, reply: HeartbeatReply) -> bool:
         """Store the ended runs of a reply.
 
         :returns: whether the next heartbeat may acknowledge them
         """
         if not await self._state_writer.flush(FLUSH_TIMEOUT_S):
             return False
-        self._acknowledged = max(ended.sequence for ended in report.ended)
+        self._acknowledged = max(ended.sequence for ended in reply.ended)
         return True
 
     async def _send_start(self, order: StartOrder) -> None:
--- a/libs/testing/src/bilberryhitch_testing/planner_harness.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_harness.py
@@ -119,7 +119,7 @@
         born: int = 0,
     ) -> None:
         """Let a worker list its runs and extend its lease."""
-        self.planner.report(
+        self.planner.apply_heartbeat(
             worker,
             HeartbeatReply(self.now, born, tuple(running), tuple(ended)),
             sent_at=self.now,
--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -304,7 +304,9 @@
                 self._acknowledged[name] = max(
                     self._acknowledged.get(name, 0), ended.sequence
                 )
-            self.planner.report(name, report, sent_at=now, now=now, unix_s=UNIX_S + now)
+            self.planner.apply_heartbeat(
+                name, report, sent_at=now, now=now, unix_s=UNIX_S + now
+            )
             self.planner.workers[name].lease_deadline(now + LEASE_S, now)
             model.hold(
                 token=1, acknowledged=self._acknowledged.get(name, 0),
--- a/tests/machines/world_point5_planner.py
+++ b/tests/machines/world_point5_planner.py
@@ -163,7 +163,7 @@
             return
         holder.looked.add(name)
         holder.lost.discard(name)
-        holder.planner.report(
+        holder.planner.apply_heartbeat(
             name, report, sent_at=self.now, now=self.now, unix_s=START_UNIX_S + self.now
         )
         if report.ended and self._store(holder):
