--- a/libs/api/src/bilberryhitch_api/tokens.py
+++ b/libs/api/src/bilberryhitch_api/tokens.py
@@ -31,7 +31,7 @@
     return found
 
 
-def caller_authentication(
+def caller_authenticator(
     callers: Mapping[str, Caller],
 ) -> Callable[[web.Request], Result[Caller, BilberryhitchError]]:
     """Return the function that finds the caller of a request.
--- a/libs/app/src/bilberryhitch/entry_host.py
+++ b/libs/app/src/bilberryhitch/entry_host.py
@@ -10,7 +10,7 @@
 from bilberryhitch_api.admin import admin_routes
 from bilberryhitch_api.callers import caller_routes
 from bilberryhitch_api.server import ApiServer, health_routes
-from bilberryhitch_api.tokens import caller_authentication
+from bilberryhitch_api.tokens import caller_authenticator
 from bilberryhitch_config import ConfigService, read_audit
 from bilberryhitch_gangs import HttpWorkerClient, JobService, PlannerSet
 from bilberryhitch_membership import HeartbeatFields, Membership
@@ -224,7 +224,7 @@
             *caller_routes(
                 self._requests,
                 self._jobs,
-                caller_authentication(self._settings.callers),
+                caller_authenticator(self._settings.callers),
                 max_body_bytes=limits.max_body_bytes,
             ),
             *admin_routes(
