--- a/libs/api/src/bilberryhitch_api/__init__.py
+++ b/libs/api/src/bilberryhitch_api/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP handlers for callers and operators."""
+"""HTTP API of an entry host for callers and operators."""
--- a/libs/api/src/bilberryhitch_api/admin.py
+++ b/libs/api/src/bilberryhitch_api/admin.py
@@ -1,4 +1,4 @@
-"""HTTP handlers for operators: tables, drains and the audit trail."""
+"""HTTP handlers for operators: tables, drains and the audit log."""
 
 from collections.abc import Awaitable, Callable, Mapping, Sequence
 from typing import Any, NamedTuple, TypeVar
@@ -28,15 +28,15 @@
 from .diff import TableDiff, diff_rows
 from .tokens import authenticate_operator
 
-MAX_LISTED = 1000
-DEFAULT_LISTED = 20
+MAX_LIST_ENTRIES = 1000
+DEFAULT_LIST_ENTRIES = 20
 MAX_REVISION = 2**53
 R = TypeVar("R", Route, Pool)
 ReadAudit = Callable[[int], Awaitable[list[AuditEntry]]]
 
 
 class Replacement(NamedTuple):
-    """A table's replacement as a change of rows."""
+    """The replacement of a table, as changes of single rows."""
 
     change: TableChange
     difference: TableDiff
@@ -51,12 +51,12 @@
     max_body_bytes: int,
     max_rows: Mapping[str, int],
 ) -> list[web.RouteDef]:
-    """Return the routes for operators.
+    """Return the HTTP routes for operators.
 
-    :param read_audit: returns the last operator actions, newest first
+    :param read_audit: returns the given number of last operator actions, newest first
     :param operators: SHA-256 of the token in hexadecimal, by operator name
-    :param max_body_bytes: limit of a table's JSON, in bytes
-    :param max_rows: limit of each table, in rows
+    :param max_body_bytes: maximum size of a request body, in bytes
+    :param max_rows: maximum number of rows, by table name
     """
     return [
         *_table_routes(config, operators, max_body_bytes, max_rows),
@@ -75,25 +75,33 @@
         authenticate_operator(request, operators)
         tables = config.tables_view
         rows = tables.routes if _is_routes(request) else tables.pools
-        return _json({"revision": tables.revision, "rows": list(rows.values())})
+        return _encode_response(
+            {"revision": tables.revision, "rows": list(rows.values())}
+        )
 
     async def put(request: web.Request) -> web.Response:
         operator = authenticate_operator(request, operators)
-        base = _base_revision(request)
+        base_revision = _base_revision(request)
         dry_run = _dry_run(request)
         data = await read_body(request, max_body_bytes)
         plain = parse_json(data, comments=True)
         routes = _is_routes(request)
-        _check_count(plain, "routes" if routes else "pools", max_rows)
-        # The rows to write follow from the tables of the base revision; an older
-        # view of this process would leave out rows that were changed since.
-        based = _ok(await config.tables_at(base))
-        replacement = _replacement(based, plain, routes=routes)
+        _check_row_count(plain, "routes" if routes else "pools", max_rows)
+        # The change is computed against the tables of the base revision. Against older
+        # tables, rows that changed since then would be left out.
+        base_tables = _unwrap(await config.tables_at(base_revision))
+        replacement = _build_replacement(base_tables, plain, routes=routes)
         if dry_run:
-            _ok(await config.check(replacement.change, base))
-            return _json({"revision": base, "difference": replacement.difference})
-        commit = _ok(await config.commit(replacement.change, base, operator))
-        return _json({**commit._asdict(), "difference": replacement.difference})
+            _unwrap(await config.check(replacement.change, base_revision))
+            return _encode_response(
+                {"revision": base_revision, "difference": replacement.difference}
+            )
+        commit = _unwrap(
+            await config.commit(replacement.change, base_revision, operator)
+        )
+        return _encode_response(
+            {**commit._asdict(), "difference": replacement.difference}
+        )
 
     return [
         route
@@ -112,17 +120,17 @@
         authenticate_operator(request, operators)
         revision = config.tables_view.revision
         body = {"revision": revision, "ready": config.ready}
-        return _json({**body, "hosts": config.host_revisions()})
+        return _encode_response({**body, "hosts": config.host_revisions()})
 
     async def history(request: web.Request) -> web.Response:
         authenticate_operator(request, operators)
-        limit = query_number(request, "limit", DEFAULT_LISTED, MAX_LISTED)
-        return _json({"changes": await config.history(limit)})
+        limit = query_number(request, "limit", DEFAULT_LIST_ENTRIES, MAX_LIST_ENTRIES)
+        return _encode_response({"changes": await config.history(limit)})
 
     async def audit(request: web.Request) -> web.Response:
         authenticate_operator(request, operators)
-        limit = query_number(request, "limit", DEFAULT_LISTED, MAX_LISTED)
-        return _json({"entries": await read_audit(limit)})
+        limit = query_number(request, "limit", DEFAULT_LIST_ENTRIES, MAX_LIST_ENTRIES)
+        return _encode_response({"entries": await read_audit(limit)})
 
     return [
         web.get("/v1/admin/config", status),
@@ -137,12 +145,12 @@
     async def drain(request: web.Request) -> web.Response:
         operator = authenticate_operator(request, operators)
         host = _known_host(membership, request)
-        return _json(_ok(await membership.drain(host, operator)))
+        return _encode_response(_unwrap(await membership.drain(host, operator)))
 
     async def undrain(request: web.Request) -> web.Response:
         operator = authenticate_operator(request, operators)
         host = _known_host(membership, request)
-        return _json(_ok(await membership.undrain(host, operator)))
+        return _encode_response(_unwrap(await membership.undrain(host, operator)))
 
     return [
         web.put("/v1/admin/drains/{host}", drain),
@@ -157,42 +165,43 @@
     return name
 
 
-def _rows(plain: Any) -> Any:
-    """Return the rows of a body: a list, or the object that GET answers."""
+def _body_rows(plain: Any) -> Any:
+    """Return the rows of a body: a list, or an object as returned by GET."""
     return plain["rows"] if isinstance(plain, dict) and "rows" in plain else plain
 
 
-def _check_count(plain: Any, table: str, max_rows: Mapping[str, int]) -> None:
-    rows = _rows(plain)
+def _check_row_count(plain: Any, table: str, max_rows: Mapping[str, int]) -> None:
+    rows = _body_rows(plain)
     if isinstance(rows, list) and len(rows) > max_rows[table]:
         rule = f"has at most {max_rows[table]} rows"
         raise TableInvalid("", table, len(rows), rule)
 
 
-def _replacement(tables: Tables, plain: Any, *, routes: bool) -> Replacement:
-    """Return the change that replaces one table by the rows of a body.
+def _build_replacement(tables: Tables, plain: Any, *, routes: bool) -> Replacement:
+    """Return the change that replaces the rows of a table with those of a body.
 
-    :param tables: the tables that the change is based on
-    :raises TableInvalid: a row cannot be read
+    :param tables: the tables on which the change is based
+    :param routes: whether the body holds routes; otherwise it holds pools
+    :raises TableInvalid: a row cannot be parsed
     """
-    rows = _rows(plain)
+    rows = _body_rows(plain)
     if routes:
-        new_routes = _ok(parse_rows(Route, rows))
+        new_routes = _unwrap(parse_rows(Route, rows))
         difference = diff_rows(tables.routes, new_routes)
         change = TableChange(
-            put_routes=_touched(new_routes, difference),
+            put_routes=_changed_rows(new_routes, difference),
             delete_routes=difference.removed,
         )
         return Replacement(change, difference)
-    new_pools = _ok(parse_rows(Pool, rows))
+    new_pools = _unwrap(parse_rows(Pool, rows))
     difference = diff_rows(tables.pools, new_pools)
     change = TableChange(
-        put_pools=_touched(new_pools, difference), delete_pools=difference.removed
+        put_pools=_changed_rows(new_pools, difference), delete_pools=difference.removed
     )
     return Replacement(change, difference)
 
 
-def _touched(rows: Sequence[R], difference: TableDiff) -> tuple[R, ...]:
+def _changed_rows(rows: Sequence[R], difference: TableDiff) -> tuple[R, ...]:
     names = {*difference.added, *difference.changed}
     return tuple(row for row in rows if row.name in names)
 
@@ -217,7 +226,7 @@
     return request.path.endswith("/routes")
 
 
-def _ok(result: Result[Any, BilberryhitchError]) -> Any:
+def _unwrap(result: Result[Any, BilberryhitchError]) -> Any:
     """Return the value of a result.
 
     :raises BilberryhitchError: the error of the result
@@ -227,5 +236,5 @@
     return result.ok
 
 
-def _json(record: object) -> web.Response:
+def _encode_response(record: object) -> web.Response:
     return web.Response(body=encode(record), content_type="application/json")
--- a/libs/api/src/bilberryhitch_api/bodies.py
+++ b/libs/api/src/bilberryhitch_api/bodies.py
@@ -1,4 +1,4 @@
-"""Reading request bodies within limits."""
+"""Reads and validates request bodies and query parameters."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -13,8 +13,8 @@
 async def read_body(request: web.Request, max_bytes: int) -> bytes:
     """Return the whole body of a request.
 
-    :param max_bytes: limit of the body, in bytes
-    :raises BodyTooLarge: the body is longer, declared or sent
+    :param max_bytes: maximum size of the body, in bytes
+    :raises BodyTooLarge: the declared or the actual size is larger
     """
     declared = request.content_length
     if declared is not None and declared > max_bytes:
@@ -30,10 +30,12 @@
 async def read_object(
     request: web.Request, max_bytes: int, fields: Mapping[str, type | tuple[type, ...]]
 ) -> dict[str, Any]:
-    """Return the JSON object of a body.
+    """Return the JSON object in a request body.
 
-    :param fields: the fields allowed, with the types of their values
-    :raises BadInput: broken JSON, a duplicate key, an unknown field, a wrong type
+    :param max_bytes: maximum size of the body, in bytes
+    :param fields: types of the values, by name of the allowed fields
+    :raises BadInput: invalid JSON, a duplicate key, an unknown field or a wrong type
+    :raises BodyTooLarge: the body is larger than ``max_bytes``
     """
     plain = parse_json(await read_body(request, max_bytes))
     if not isinstance(plain, dict):
@@ -44,10 +46,10 @@
                 shorten_value(name), shorten_value(value), "is a known field"
             )
         if isinstance(value, bool) and fields[name] is not bool:
-            raise BadInput(name, value, f"is of type {_names(fields[name])}")
+            raise BadInput(name, value, f"is of type {_type_names(fields[name])}")
         if not isinstance(value, fields[name]):
             raise BadInput(
-                name, shorten_value(value), f"is of type {_names(fields[name])}"
+                name, shorten_value(value), f"is of type {_type_names(fields[name])}"
             )
     return plain
 
@@ -55,14 +57,14 @@
 def query_number(
     request: web.Request, name: str, default: int, high: int, *, low: int = 1
 ) -> int:
-    """Return a whole number of the query, from ``low`` to ``high``.
+    """Return an integer query parameter between ``low`` and ``high``.
 
-    :raises BadInput: it is not such a number
+    :raises BadInput: the value is not an integer in that range
     """
     text = request.query.get(name)
     if text is None:
         return default
-    # The length check keeps `int` away from texts of any size.
+    # The length is limited before the conversion: int() is slow for long texts.
     if not (text.isascii() and text.isdigit() and len(text) <= len(str(high))):
         raise BadInput(
             name, shorten_value(text), f"is a number between {low} and {high}"
@@ -74,9 +76,9 @@
     return int(text)
 
 
-def _names(kinds: type | tuple[type, ...]) -> str:
-    options = kinds if isinstance(kinds, tuple) else (kinds,)
-    return " or ".join(kind.__name__ for kind in options)
+def _type_names(types: type | tuple[type, ...]) -> str:
+    options = types if isinstance(types, tuple) else (types,)
+    return " or ".join(each.__name__ for each in options)
 
 
 def _too_large(size: int, limit: int) -> BodyTooLarge:
--- a/libs/api/src/bilberryhitch_api/callers.py
+++ b/libs/api/src/bilberryhitch_api/callers.py
@@ -28,7 +28,7 @@
 KEY_HEADER = "Idempotency-Key"
 MAX_KEY_CHARACTERS = 128
 MAX_WAIT_S = 60.0
-OUTCOME_STATUS: dict[OutcomeStatus, HTTPStatus] = {
+OUTCOME_HTTP_STATUSES: dict[OutcomeStatus, HTTPStatus] = {
     "completed": HTTPStatus.OK,
     "failed": HTTPStatus.BAD_GATEWAY,
     "not_run": HTTPStatus.SERVICE_UNAVAILABLE,
@@ -38,7 +38,7 @@
 
 
 class Requests(Protocol):
-    """What the handlers need of the request service."""
+    """The operations of the request service that the handlers use."""
 
     async def submit(self, call: RequestCall) -> Outcome:
         """Run a request and return its outcome."""
@@ -46,28 +46,28 @@
     async def status(
         self, handle: str, client_account: str
     ) -> Result[Outcome, BilberryhitchError]:
-        """Return what is known under a handle."""
+        """Return the outcome of the request with a handle, as far as it is known."""
 
 
 class Jobs(Protocol):
-    """What the handlers need of the job service."""
+    """The operations of the job service that the handlers use."""
 
     async def accept(self, call: JobCall) -> Result[JobRecord, BilberryhitchError]:
-        """Accept a job durably, or say why not."""
+        """Store a job and return its record, or the reason for the rejection."""
 
     async def get(self, job_id: str) -> Result[JobRecord, BilberryhitchError]:
-        """Return a job."""
+        """Return the record of a job."""
 
     async def wait(
         self, job_id: str, timeout_s: float
     ) -> Result[JobRecord, BilberryhitchError]:
-        """Return a job once it is finished or the time is over."""
+        """Return a job once it has finished or the timeout has expired."""
 
     async def cancel(self, job_id: str) -> Result[JobRecord, BilberryhitchError]:
-        """Cancel a job."""
+        """Cancel a job and return its record."""
 
     async def explain(self, job_id: str) -> Result[Explanation, BilberryhitchError]:
-        """Say why a job is where it is."""
+        """Return the reason for the current state of a job."""
 
 
 class _JobBody(NamedTuple):
@@ -86,10 +86,10 @@
     *,
     max_body_bytes: int,
 ) -> list[web.RouteDef]:
-    """Return the routes for callers.
+    """Return the HTTP routes for callers.
 
-    :param authenticate: turns a request's bearer token into its caller
-    :param max_body_bytes: limit of request and job bodies, in bytes
+    :param authenticate: returns the caller of an HTTP request, by its bearer token
+    :param max_body_bytes: maximum size of an HTTP request body, in bytes
     """
     return [
         *_request_routes(requests, authenticate, max_body_bytes),
@@ -101,19 +101,19 @@
     requests: Requests, authenticate: Authenticate, max_body_bytes: int
 ) -> list[web.RouteDef]:
     async def submit(request: web.Request) -> web.StreamResponse:
-        caller = _caller(authenticate, request)
+        caller = _authenticated_caller(authenticate, request)
         call = RequestCall(
             caller.client_account,
             caller.caller,
             request.match_info["route"],
             await read_body(request, max_body_bytes),
-            _key(request),
+            _idempotency_key(request),
             request.content_type,
         )
         return _outcome_response(await requests.submit(call))
 
     async def status(request: web.Request) -> web.StreamResponse:
-        caller = _caller(authenticate, request)
+        caller = _authenticated_caller(authenticate, request)
         handle = request.match_info["handle"]
         result = await requests.status(handle, caller.client_account)
         if result.is_error():
@@ -130,7 +130,7 @@
     jobs: Jobs, authenticate: Authenticate, max_body_bytes: int
 ) -> list[web.RouteDef]:
     async def accept(request: web.Request) -> web.StreamResponse:
-        caller = _caller(authenticate, request)
+        caller = _authenticated_caller(authenticate, request)
         plain = parse_json(await read_body(request, max_body_bytes))
         body = from_plain(_JobBody, plain)
         call = JobCall(
@@ -139,32 +139,32 @@
             body.route,
             body.shape,
             body.run,
-            _key(request),
+            _idempotency_key(request),
         )
         result = await jobs.accept(call)
         if result.is_error():
             raise result.error
-        return _record_response(result.ok, HTTPStatus.CREATED)
+        return _job_response(result.ok, HTTPStatus.CREATED)
 
     async def get(request: web.Request) -> web.StreamResponse:
-        return _record_response(await _own_job(jobs, authenticate, request))
+        return _job_response(await _get_own_job(jobs, authenticate, request))
 
     async def wait(request: web.Request) -> web.StreamResponse:
-        record = await _own_job(jobs, authenticate, request)
-        result = await jobs.wait(record.job_id, _wait_seconds(request))
+        record = await _get_own_job(jobs, authenticate, request)
+        result = await jobs.wait(record.job_id, _wait_timeout_s(request))
         if result.is_error():
             raise result.error
-        return _record_response(result.ok)
+        return _job_response(result.ok)
 
     async def cancel(request: web.Request) -> web.StreamResponse:
-        record = await _own_job(jobs, authenticate, request)
+        record = await _get_own_job(jobs, authenticate, request)
         result = await jobs.cancel(record.job_id)
         if result.is_error():
             raise result.error
-        return _record_response(result.ok)
+        return _job_response(result.ok)
 
     async def explain(request: web.Request) -> web.StreamResponse:
-        record = await _own_job(jobs, authenticate, request)
+        record = await _get_own_job(jobs, authenticate, request)
         result = await jobs.explain(record.job_id)
         if result.is_error():
             raise result.error
@@ -179,21 +179,22 @@
     ]
 
 
-def _caller(authenticate: Authenticate, request: web.Request) -> Caller:
+def _authenticated_caller(authenticate: Authenticate, request: web.Request) -> Caller:
     result = authenticate(request)
     if result.is_error():
         raise result.error
     return result.ok
 
 
-async def _own_job(
+async def _get_own_job(
     jobs: Jobs, authenticate: Authenticate, request: web.Request
 ) -> JobRecord:
-    """Return the job in the path if it belongs to the caller's account.
+    """Return the job in the path if it belongs to the caller's client account.
 
-    :raises NotFound: also for another account's job, so that ids do not leak
+    :raises NotFound: there is no such job, or it belongs to another client account;
+        the error is the same, so that callers cannot probe for job ids
     """
-    caller = _caller(authenticate, request)
+    caller = _authenticated_caller(authenticate, request)
     job_id = request.match_info["id"]
     result = await jobs.get(job_id)
     if result.is_error():
@@ -203,7 +204,7 @@
     return result.ok
 
 
-def _key(request: web.Request) -> str:
+def _idempotency_key(request: web.Request) -> str:
     key = request.headers.get(KEY_HEADER, "")
     printable = key.isascii() and key.isprintable() and "/" not in key
     if len(key) > MAX_KEY_CHARACTERS or not printable:
@@ -213,18 +214,18 @@
     return key
 
 
-def _wait_seconds(request: web.Request) -> float:
+def _wait_timeout_s(request: web.Request) -> float:
     text = request.query.get("timeout_s", "0")
     try:
-        seconds = float(text)
+        timeout_s = float(text)
     except ValueError:
-        seconds = -1.0
-    if not 0.0 <= seconds <= MAX_WAIT_S:
+        timeout_s = -1.0
+    if not 0.0 <= timeout_s <= MAX_WAIT_S:
         raise BadInput("timeout_s", text, f"a number of seconds from 0 to {MAX_WAIT_S}")
-    return seconds
+    return timeout_s
 
 
-def _record_response(
+def _job_response(
     record: JobRecord, status: HTTPStatus = HTTPStatus.OK
 ) -> web.Response:
     headers = {OUTCOME_HEADER: record.status} if record.status else {}
@@ -242,7 +243,7 @@
         headers[HANDLE_HEADER] = outcome.handle
     if outcome.status == "not_run":
         headers["Retry-After"] = str(max(1, round(outcome.retry_after_s)))
-    status = OUTCOME_STATUS[outcome.status]
+    status = OUTCOME_HTTP_STATUSES[outcome.status]
     if outcome.status == "completed":
         headers["Content-Type"] = outcome.content_type
         return web.Response(body=outcome.body, status=status, headers=headers)
--- a/libs/api/src/bilberryhitch_api/diff.py
+++ b/libs/api/src/bilberryhitch_api/diff.py
@@ -1,4 +1,4 @@
-"""The difference between a table in force and the rows an operator sends."""
+"""Compares a current table with the rows that an operator sends."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple, TypeVar
@@ -9,7 +9,7 @@
 
 
 class FieldChange(NamedTuple):
-    """One field of a row that changes."""
+    """A change of one field of a row."""
 
     field: str
     before: Any
@@ -17,7 +17,12 @@
 
 
 class TableDiff(NamedTuple):
-    """What replacing a table would do, by row name."""
+    """The difference between a table and its replacement.
+
+    :param added: names of new rows
+    :param removed: names of deleted rows
+    :param changed: changed fields, by row name
+    """
 
     added: tuple[str, ...]
     removed: tuple[str, ...]
@@ -25,7 +30,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing changes."""
+        """Whether both tables are equal."""
         return not (self.added or self.removed or self.changed)
 
 
--- a/libs/api/src/bilberryhitch_api/errors.py
+++ b/libs/api/src/bilberryhitch_api/errors.py
@@ -1,4 +1,4 @@
-"""The one mapping from typed errors to HTTP answers."""
+"""Maps exceptions to HTTP error responses."""
 
 import math
 from collections.abc import Awaitable, Callable
@@ -13,7 +13,7 @@
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-STATUSES: dict[type[errors.BilberryhitchError], int] = {
+HTTP_STATUSES: dict[type[errors.BilberryhitchError], int] = {
     errors.BadInput: 400,
     errors.Unauthenticated: 401,
     errors.NotFound: 404,
@@ -26,7 +26,7 @@
     errors.OutcomeUnknown: 504,
     errors.StoreAnswerLost: 504,
 }
-OUTCOMES: dict[type[errors.BilberryhitchError], str] = {
+OUTCOMES_BY_ERROR: dict[type[errors.BilberryhitchError], str] = {
     errors.QueueFull: "not_run",
     errors.NotRun: "not_run",
     errors.OutcomeUnknown: "unknown",
@@ -34,67 +34,67 @@
 
 
 class BodyTooLarge(errors.BadInput):
-    """A body exceeds the limit; nothing changed."""
+    """A request body exceeds the size limit; nothing was changed."""
 
     code = "body_too_large"
 
 
-STATUSES[BodyTooLarge] = 413
+HTTP_STATUSES[BodyTooLarge] = 413
 
 
-def status_of(error: errors.BilberryhitchError) -> int:
-    """Return the HTTP status of an error; 500 for one without a mapping."""
-    for kind in type(error).__mro__:
-        if kind in STATUSES:
-            return STATUSES[kind]
+def http_status(error: errors.BilberryhitchError) -> int:
+    """Return the HTTP status of an error; 500 for types not listed."""
+    for error_type in type(error).__mro__:
+        if error_type in HTTP_STATUSES:
+            return HTTP_STATUSES[error_type]
     return 500
 
 
 def error_response(error: errors.BilberryhitchError, **extra: object) -> web.Response:
-    """Return the JSON answer ``{"error": code, <data of the error>}``.
+    """Return the JSON response ``{"error": code, <attributes of the error>}``.
 
-    :param extra: further members of the answer
+    :param extra: further fields of the response body
     """
-    body = {"error": error.code, **_members(error), **extra}
+    body = {"error": error.code, **_body_fields(error), **extra}
     headers = {}
-    for kind, outcome in OUTCOMES.items():
-        if isinstance(error, kind):
+    for error_type, outcome in OUTCOMES_BY_ERROR.items():
+        if isinstance(error, error_type):
             headers[OUTCOME_HEADER] = outcome
-    if status_of(error) in (429, 503):
-        wait_s = getattr(error, "retry_after_s", STORE_RETRY_AFTER_S)
-        headers["Retry-After"] = str(max(1, math.ceil(wait_s)))
+    if http_status(error) in (429, 503):
+        retry_after_s = getattr(error, "retry_after_s", STORE_RETRY_AFTER_S)
+        headers["Retry-After"] = str(max(1, math.ceil(retry_after_s)))
     if isinstance(error, errors.Unauthenticated):
         headers["WWW-Authenticate"] = "Bearer"
-    return web.json_response(body, status=status_of(error), headers=headers)
+    return web.json_response(body, status=http_status(error), headers=headers)
 
 
 @web.middleware
 async def error_middleware(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
-    """Answer every raised error as JSON, without a traceback."""
+    """Turn every exception into a JSON response without a traceback."""
     try:
         return await handler(request)
     except errors.BilberryhitchError as error:
         return error_response(error)
     except web.HTTPException as error:
-        return _plain_status(error)
+        return _http_error_response(error)
     except Exception as error:
         log(events.HANDLER_FAILED, path=request.path, error=error)
         return web.json_response({"error": "internal"}, status=500)
 
 
-def _plain_status(error: web.HTTPException) -> web.Response:
+def _http_error_response(error: web.HTTPException) -> web.Response:
     code = error.reason.lower().replace(" ", "_")
     headers = {"Allow": error.headers["Allow"]} if "Allow" in error.headers else {}
     return web.json_response({"error": code}, status=error.status, headers=headers)
 
 
-def _members(error: errors.BilberryhitchError) -> dict[str, Any]:
-    return {name: _member(value) for name, value in vars(error).items()}
+def _body_fields(error: errors.BilberryhitchError) -> dict[str, Any]:
+    return {name: _body_value(value) for name, value in vars(error).items()}
 
 
-def _member(value: object) -> Any:
+def _body_value(value: object) -> Any:
     plain = to_plain(value)
     if isinstance(plain, float) and not math.isfinite(plain):
         return str(plain)
--- a/libs/api/src/bilberryhitch_api/server.py
+++ b/libs/api/src/bilberryhitch_api/server.py
@@ -9,16 +9,18 @@
 
 from .errors import Handler, error_middleware
 
-BUSY_RETRY_S = 1.0
+BUSY_RETRY_AFTER_S = 1.0
 
 
 class ApiServer:
-    """Serves the API on one address.
-
-    :param routes: caller, administration and operation routes
-    :param max_calls: calls served at once; one more is refused as not run
-    :param shutdown_wait_s: how long :meth:`close` waits for open connections
-        after every handler has answered, in seconds
+    """Serves the HTTP API on one address.
+
+    :param routes: routes for callers, operators and monitoring
+    :param max_body_bytes: maximum size of an HTTP request body, in bytes
+    :param max_calls: maximum number of concurrent HTTP requests; further ones are
+        rejected as not run
+    :param shutdown_wait_s: how long :meth:`close` waits for open connections, in
+        seconds
     """
 
     def __init__(
@@ -31,7 +33,8 @@
         shutdown_wait_s: float = 1.0,
     ) -> None:
         application = web.Application(
-            client_max_size=max_body_bytes, middlewares=[error_middleware, self._count]
+            client_max_size=max_body_bytes,
+            middlewares=[error_middleware, self._limit_concurrency],
         )
         application.add_routes(list(routes))
         self._bind = bind
@@ -46,38 +49,38 @@
 
     @property
     def address(self) -> Address:
-        """Where the server listens; the kernel may have chosen the port."""
+        """The address the server listens on, with the actual port if it was 0."""
         if not self._runner.addresses:
             return self._bind
         ip, port = self._runner.addresses[0][:2]
         return Address(ip, port)
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         await self._runner.setup()
         self._site = web.TCPSite(self._runner, self._bind.ip, self._bind.port)
         await self._site.start()
 
     async def finish_in_flight(self) -> None:
-        """Wait until every handler that was called has answered."""
+        """Wait until no HTTP request is being handled."""
         await self._idle.wait()
 
     async def stop_listening(self) -> None:
-        """Accept no new connections; open ones are served on."""
+        """Stop accepting connections; open ones are still served."""
         if self._site is not None:
             await self._site.stop()
             self._site = None
 
     async def close(self) -> None:
-        """Close every connection; call it once all handlers have answered."""
+        """Close all connections; to be called after :meth:`finish_in_flight`."""
         await self._runner.cleanup()
 
     @web.middleware
-    async def _count(
+    async def _limit_concurrency(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
         if self._in_flight >= self._max_calls:
-            raise NotRun("too many calls at this entry host", BUSY_RETRY_S)
+            raise NotRun("too many calls at this entry host", BUSY_RETRY_AFTER_S)
         self._in_flight += 1
         self._idle.clear()
         try:
@@ -91,7 +94,11 @@
 def health_routes(
     ready: Callable[[], bool], metrics_text: Callable[[], bytes]
 ) -> list[web.RouteDef]:
-    """Return the routes for the balancer and for metrics scrapes."""
+    """Return the routes for load balancer checks and for metrics scrapes.
+
+    :param ready: whether this host should receive traffic
+    :param metrics_text: returns the metrics in the Prometheus text format
+    """
 
     async def healthz(_: web.Request) -> web.Response:
         return web.Response(text="ok\n")
--- a/libs/api/tests/test_admin.py
+++ b/libs/api/tests/test_admin.py
@@ -45,8 +45,11 @@
         return Ok({"host": host, "leaving": False})
 
 
-class Api:
-    """The routes over a configuration service, with one call per line."""
+class AdminApi:
+    """The operator routes on a test server, with their configuration service.
+
+    :ivar other: a second configuration service on the same store
+    """
 
     def __init__(self):
         self.inner = MemoryTables()
@@ -94,14 +97,14 @@
 
 def scenario(main):
     async def run():
-        async with Api() as api:
+        async with AdminApi() as api:
             await main(api)
 
     return lambda: asyncio.run(run())
 
 
 @scenario
-async def test_put_answers_the_difference_and_a_read_table_can_be_put_back(api):
+async def test_put_returns_the_difference_and_accepts_the_body_of_get(api):
     assert (await api.call("PUT", "pools?base_revision=0", [POOL]))[0] == 200
     status, body = await api.call("PUT", "routes?base_revision=1", [ROUTE])
     assert (status, body["revision"]) == (200, 2)
@@ -119,7 +122,7 @@
 
 
 @scenario
-async def test_conflict_names_the_winner(api):
+async def test_conflict_response_names_the_other_operator(api):
     await api.call("PUT", "pools?base_revision=0", [POOL], token="token-b")
     status, body = await api.call("PUT", "pools?base_revision=0", [POOL])
     assert status == 409
@@ -127,8 +130,11 @@
 
 
 @scenario
-async def test_rows_follow_from_the_base_and_not_from_an_old_view(api):
-    # Guards against a row silently keeping another operator's value.
+async def test_change_is_computed_from_the_tables_of_the_base_revision(api):
+    """Guards against a row that keeps the value of a commit made elsewhere.
+
+    The entry host has not yet adopted that commit when it computes the change.
+    """
     await api.call("PUT", "pools?base_revision=0", [POOL])
     pool = api.config.tables_view.pools["p"]._replace(max_queued=7)
     change = TableChange(put_pools=(pool,))
@@ -138,7 +144,7 @@
     assert api.config.tables_view.pools["p"].max_queued == 10_000
 
 
-BAD = [
+INVALID_CALLS = [
     ("PUT", "pools", [POOL], 400, "base_revision"),
     ("PUT", "pools?base_revision=x", [POOL], 400, "base_revision"),
     ("PUT", "pools?base_revision=0&dry_run=yes", [POOL], 400, "dry_run"),
@@ -155,8 +161,8 @@
 ]
 
 
-@pytest.mark.parametrize(("method", "path", "body", "status", "field"), BAD)
-def test_bad_calls_name_field_and_rule_and_change_nothing(
+@pytest.mark.parametrize(("method", "path", "body", "status", "field"), INVALID_CALLS)
+def test_invalid_calls_report_field_and_rule_and_change_nothing(
     method, path, body, status, field
 ):
     async def main(api):
@@ -192,7 +198,7 @@
 
 
 @scenario
-async def test_status_and_outage(api):
+async def test_config_status_and_unavailable_store(api):
     api.config.receive_revision("muscat-ruwi-1", 4)
     _, body = await api.call("GET", "config")
     assert body["hosts"][0]["revision"] == 4
--- a/libs/api/tests/test_callers.py
+++ b/libs/api/tests/test_callers.py
@@ -27,7 +27,7 @@
 )
 
 
-class Requests:
+class FakeRequests:
     outcome = Outcome("completed", b"answer", "text/plain")
 
     async def submit(self, call):
@@ -38,7 +38,7 @@
         return Error(NotFound("request", handle))
 
 
-class Jobs:
+class FakeJobs:
     async def accept(self, call):
         if call.route != "render":
             return Error(NotRun("no store", 3.0))
@@ -61,11 +61,14 @@
 
 
 def call(method, path, token="a", requests=None, **options):
-    """Send one call to a server with fakes; returns status, headers and body."""
+    """Send one HTTP request to a server with fake services.
+
+    :returns: status, headers and body
+    """
 
     async def main():
         routes = caller_routes(
-            requests or Requests(), Jobs(), authenticate, max_body_bytes=1000
+            requests or FakeRequests(), FakeJobs(), authenticate, max_body_bytes=1000
         )
         server = ApiServer(
             Address("127.0.0.1", 0), routes, max_body_bytes=1000, max_calls=10
@@ -95,8 +98,8 @@
         (Outcome("unknown", handle="ruwi.h.1"), 504),
     ],
 )
-def test_each_outcome_has_its_status_and_header(outcome, status):
-    requests = Requests()
+def test_outcome_is_mapped_to_status_and_headers(outcome, status):
+    requests = FakeRequests()
     requests.outcome = outcome
     found, headers, body = call("POST", "/v1/requests/fit", requests=requests)
     assert found == status
@@ -107,12 +110,12 @@
         assert body == b"answer"
 
 
-def test_missing_token_is_refused():
+def test_unknown_token_is_rejected():
     assert call("POST", "/v1/requests/fit", token="nobody")[0] == 401
 
 
 def test_job_of_another_account_is_not_found():
-    # Guards against reading, cancelling or probing another account's jobs.
+    """Guards against callers who read, cancel or probe for jobs of other accounts."""
     for method in ("GET", "DELETE"):
         assert call(method, f"/v1/jobs/{JOB.job_id}", token="b")[0] == 404
         assert call(method, f"/v1/jobs/{JOB.job_id}", token="a")[0] == 200
@@ -128,21 +131,24 @@
         (b"x" * 2000, 413, "body"),
     ],
 )
-def test_bad_job_bodies_are_refused_with_the_field(data, status, field):
-    # Guards against tracebacks and against ignoring a misspelt field.
+def test_invalid_job_body_is_rejected_with_the_field(data, status, field):
+    """Guards against tracebacks and against misspelt fields that are ignored."""
     found, _, body = call("POST", "/v1/jobs", data=data)
     assert found == status
     assert field in json.loads(body)["field"]
 
 
-def test_refused_job_says_that_it_was_not_run():
+def test_rejected_job_is_reported_as_not_run():
     found, headers, _ = call("POST", "/v1/jobs", json={"route": "other"})
     assert found == 503
     assert headers["Bilberryhitch-Outcome"] == "not_run"
     assert headers["Retry-After"] == "3"
 
 
-def test_key_with_a_slash_is_refused():
-    # A slash would let one account's key name another row of the store.
+def test_idempotency_key_with_a_slash_is_rejected():
+    """Guards against a key with which one account addresses rows of another.
+
+    Keys of callers are parts of row keys, which are separated by slashes.
+    """
     headers = {"Idempotency-Key": "a/b"}
     assert call("POST", "/v1/requests/fit", headers=headers)[0] == 400
--- a/libs/api/tests/test_errors.py
+++ b/libs/api/tests/test_errors.py
@@ -6,10 +6,10 @@
 from aiohttp import web
 from aiohttp.test_utils import TestClient, TestServer
 from bilberryhitch_api.bodies import query_number, read_object
-from bilberryhitch_api.errors import error_middleware, error_response, status_of
+from bilberryhitch_api.errors import error_middleware, error_response, http_status
 from bilberryhitch_model import Shape, errors
 
-STATUSES = [
+ERROR_STATUSES = [
     (errors.BadInput("a", math.nan, "r"), 400),
     (errors.Unauthenticated(), 401),
     (errors.NotFound("job", "x"), 404),
@@ -23,15 +23,15 @@
 ]
 
 
-@pytest.mark.parametrize(("error", "status"), STATUSES)
-def test_error_has_its_status_and_strict_json(error, status):
+@pytest.mark.parametrize(("error", "status"), ERROR_STATUSES)
+def test_error_is_mapped_to_status_and_strict_json(error, status):
     response = error_response(error)
-    assert status_of(error) == response.status == status
+    assert http_status(error) == response.status == status
     body = json.loads(response.text, parse_constant=pytest.fail)
     assert body["error"] == error.code
 
 
-async def _echo(request):
+async def _parse_request(request):
     if "crash" in request.query:
         raise RuntimeError("internal detail")
     fields = {"count": int, "names": list}
@@ -41,7 +41,7 @@
 
 async def _call(method, path, data):
     app = web.Application(middlewares=[error_middleware])
-    app.router.add_post("/", _echo)
+    app.router.add_post("/", _parse_request)
     async with TestClient(TestServer(app)) as client:
         response = await client.request(method, path, data=data)
         return response.status, await response.json()
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(("method", "path", "data", "status", "field"), CALLS)
-def test_bad_calls_get_a_json_answer_without_traceback(
+def test_invalid_calls_get_a_json_response_without_traceback(
     method, path, data, status, field
 ):
     found, body = asyncio.run(_call(method, path, data))
--- a/libs/api/tests/test_server.py
+++ b/libs/api/tests/test_server.py
@@ -6,7 +6,7 @@
 from bilberryhitch_model import Address
 
 
-def serve(routes, **options):
+def make_server(routes, **options):
     return ApiServer(
         Address("127.0.0.1", 0),
         routes,
@@ -19,7 +19,7 @@
     return f"http://127.0.0.1:{server.address.port}{path}"
 
 
-def test_finish_in_flight_waits_for_every_handler():
+def test_finish_in_flight_waits_for_running_handlers():
     async def main():
         release = asyncio.Event()
 
@@ -27,7 +27,7 @@
             await release.wait()
             return web.Response(text="x" * 100_000)
 
-        server = serve([web.get("/", slow)])
+        server = make_server([web.get("/", slow)])
         await server.start()
         async with aiohttp.ClientSession() as session:
             call = asyncio.create_task(session.get(url(server, "/")))
@@ -44,7 +44,7 @@
     asyncio.run(main())
 
 
-def test_call_beyond_the_limit_is_refused_as_not_run():
+def test_call_beyond_the_limit_is_rejected_as_not_run():
     async def main():
         release = asyncio.Event()
 
@@ -52,14 +52,14 @@
             await release.wait()
             return web.Response()
 
-        server = serve([web.get("/", slow)], max_calls=1)
+        server = make_server([web.get("/", slow)], max_calls=1)
         await server.start()
         async with aiohttp.ClientSession() as session:
             call = asyncio.create_task(session.get(url(server, "/")))
             await asyncio.sleep(0.05)
-            async with session.get(url(server, "/")) as refused:
-                assert refused.status == 503
-                assert refused.headers["Bilberryhitch-Outcome"] == "not_run"
+            async with session.get(url(server, "/")) as rejected:
+                assert rejected.status == 503
+                assert rejected.headers["Bilberryhitch-Outcome"] == "not_run"
             release.set()
             (await call).close()
         await server.close()
@@ -69,7 +69,7 @@
 
 def test_readiness_and_metrics():
     async def main():
-        server = serve(health_routes(lambda: False, lambda: b"a 1\n"))
+        server = make_server(health_routes(lambda: False, lambda: b"a 1\n"))
         await server.start()
         async with aiohttp.ClientSession() as session:
             found = {}
