--- a/libs/planner/src/bilberryhitch_planner/leading_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/leading_planner.py
@@ -62,7 +62,7 @@
     :param advise: calls the advice service; returns None without a usable reply
     :param waves: returns the maintenance waves that the operator has requested
     :param encode_wave: returns the row that reports a wave's state to the operator
-    :param keep_s: retention period of finished jobs, in seconds
+    :param retention_s: retention period of finished jobs, in seconds
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         machines: UpkeepCalls,
         waves: Callable[[], Iterable[Wave]],
         encode_wave: Callable[[int, bool], RowWrite],
-        keep_s: float,
+        retention_s: float,
     ) -> None:
         horizon = WORKER_LEASE_HORIZON_S * (1 + CLOCK_DRIFT) + LEASE_SLACK_S
         self.planner = Planner(
@@ -87,7 +87,11 @@
         )
         self._wake = asyncio.Event()
         self.state_writer = StateWriter(
-            store, leader_lease, self.planner, keep_s=keep_s, on_stored=self._wake.set
+            store,
+            leader_lease,
+            self.planner,
+            retention_s=retention_s,
+            on_stored=self._wake.set,
         )
         self._store = store
         self._leader_lease = leader_lease
--- a/libs/planner/src/bilberryhitch_planner/state_writer.py
+++ b/libs/planner/src/bilberryhitch_planner/state_writer.py
@@ -95,7 +95,7 @@
 class StateWriter:
     """Writes the planner's state during one lease term.
 
-    :param keep_s: retention period of finished jobs, in seconds
+    :param retention_s: retention period of finished jobs, in seconds
     :param on_stored: called after each successful transaction
     :param unix: returns the Unix time in seconds
     """
@@ -106,14 +106,14 @@
         leader_lease: LeaderLease,
         planner: Planner,
         *,
-        keep_s: float,
+        retention_s: float,
         on_stored: Callable[[], None] = lambda: None,
         unix: Callable[[], float] = time.time,
     ) -> None:
         self._store = store
         self._leader_lease = leader_lease
         self._planner = planner
-        self._keep_s = keep_s
+        self._retention_s = retention_s
         self._on_stored = on_stored
         self._unix = unix
         self._revision = leader_lease.token
@@ -240,7 +240,7 @@
         self._orphans |= ended
 
     def _expired(self) -> list[str]:
-        limit = self._unix() - self._keep_s
+        limit = self._unix() - self._retention_s
         expired = [
             name
             for name, job in self._planner.jobs.items()
--- a/libs/planner/tests/test_leader_election.py
+++ b/libs/planner/tests/test_leader_election.py
@@ -77,7 +77,7 @@
 
 def state_writer(store, lease):
     planner = Planner(inherited_revision=lease.token, inherited_until=0.0)
-    return planner, StateWriter(store, lease, planner, keep_s=60.0)
+    return planner, StateWriter(store, lease, planner, retention_s=60.0)
 
 
 def test_a_holder_that_does_not_renew_is_replaced_and_deposed():
