--- a/libs/standins/src/bilberryhitch_standins/__init__.py
+++ b/libs/standins/src/bilberryhitch_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform, executors and workers, with fault switches."""
+"""Stand-ins of the platform, executors and workers, with fault injection."""
 
 from .executor_server import ExecutorStandin
 from .platform_server import PlatformStandin
--- a/libs/standins/src/bilberryhitch_standins/executor_faults.py
+++ b/libs/standins/src/bilberryhitch_standins/executor_faults.py
@@ -19,11 +19,16 @@
 
 
 class ExecutorFault(NamedTuple):
-    """One fault.
+    """A fault and the number of requests that it affects.
 
-    :param seconds: delay of ``slow``
-    :param times: how many requests it affects; 0 means until it is cleared
-    :param extra_bytes: what ``over_long`` appends to the answer
+    :param kind: ``slow`` delays the answer; ``pause`` lets requests wait;
+        ``drop_before`` and ``drop_after`` close the connection before or after the
+        request ran; ``truncate`` sends less than the announced length; ``over_long``
+        appends bytes; ``wrong_attempt`` answers with another attempt's identifier;
+        ``duplicate`` sends the answer twice; ``fail`` answers with status 500
+    :param seconds: delay of ``slow``, in seconds
+    :param times: number of requests that it affects; 0 for all until it is cleared
+    :param extra_bytes: number of bytes that ``over_long`` appends to the answer
     """
 
     kind: FaultKind
@@ -33,26 +38,26 @@
 
 
 class ExecutorFaults:
-    """The faults now in force; one of each kind."""
+    """Active faults, at most one of each kind."""
 
     def __init__(self) -> None:
         self._faults: dict[str, ExecutorFault] = {}
-        self._running = asyncio.Event()
-        self._running.set()
+        self._unpaused = asyncio.Event()
+        self._unpaused.set()
 
     def put(self, fault: ExecutorFault) -> None:
         """Set a fault, replacing one of the same kind."""
         self._faults[fault.kind] = fault
         if fault.kind == "pause":
-            self._running.clear()
+            self._unpaused.clear()
 
     def clear(self) -> None:
-        """Remove every fault and let paused requests go on."""
+        """Remove all faults and resume paused requests."""
         self._faults.clear()
-        self._running.set()
+        self._unpaused.set()
 
-    def take(self, kind: FaultKind) -> ExecutorFault | None:
-        """Return the fault if it affects this request, counting it down."""
+    def consume(self, kind: FaultKind) -> ExecutorFault | None:
+        """Return the fault if it is active, and count one affected request."""
         fault = self._faults.get(kind)
         if fault is None:
             return None
@@ -62,10 +67,10 @@
             self._faults[kind] = fault._replace(times=fault.times - 1)
         return fault
 
-    async def unpaused(self) -> None:
+    async def wait_while_paused(self) -> None:
         """Wait while ``pause`` is set."""
-        await self._running.wait()
+        await self._unpaused.wait()
 
     def active(self) -> list[str]:
-        """Return the kinds in force, sorted."""
+        """Return the kinds of the active faults, sorted."""
         return sorted(self._faults)
--- a/libs/standins/src/bilberryhitch_standins/executor_server.py
+++ b/libs/standins/src/bilberryhitch_standins/executor_server.py
@@ -1,4 +1,4 @@
-"""Stand-in of an executor: 8 slots, 64 connections, fault switches."""
+"""Stand-in of an executor: 8 slots, 64 connections, fault injection."""
 
 import asyncio
 import json
@@ -12,19 +12,19 @@
 from .executor_faults import ExecutorFault, ExecutorFaults
 
 SLOTS = 8
-CONNECTIONS = 64
+CONNECTION_LIMIT = 64
 MAX_BODY_BYTES = 16_777_216
 MAX_SLEEP_S = 3600.0
-SHUTDOWN_S = 0.1
-NOT_ACCEPTED = "not accepted"
+CONNECTION_CLOSE_TIMEOUT_S = 0.1
+NOT_ACCEPTED_TEXT = "not accepted"
 
 
 class RunBody(NamedTuple):
-    """What the body of a request asks of the stand-in.
+    """Instructions to the stand-in in the body of a request.
 
-    :param sleep_s: how long the request runs, in seconds
+    :param sleep_s: run time of the request in seconds
     :param answer: the body of the answer
-    :param fail: whether the run ends in failure (500)
+    :param fail: whether the run ends in a failure (status 500)
     """
 
     sleep_s: float = 0.0
@@ -41,17 +41,21 @@
 
 
 class ExecutorStandin:
-    """HTTP server with the executor protocol of the design page.
+    """HTTP server with the executor protocol.
 
-    :param host: the host that it stands for
+    :param host: the executor's row in the host list
+    :param bind: IP address to listen on
     :param port: TCP port; 0 lets the kernel choose
+    :ivar faults: active faults, also set over ``/faults``
+    :ivar ran: requests that began to run, also listed under ``/v1/ran``
+    :ivar peak_running: highest number of requests that held a slot at a time
     """
 
     def __init__(self, host: Host, bind: str = "127.0.0.1", port: int = 0) -> None:
         self.host = host
         self.faults = ExecutorFaults()
         self.ran: list[RanEntry] = []
-        self.most_running = 0
+        self.peak_running = 0
         self._bind = bind
         self._port = port
         self._running = 0
@@ -69,14 +73,14 @@
         app.router.add_get("/faults", self._list_faults)
         app.router.add_post("/faults", self._put_fault)
         app.router.add_delete("/faults", self._clear_faults)
-        self._runner = web.AppRunner(app, shutdown_timeout=SHUTDOWN_S)
+        self._runner = web.AppRunner(app, shutdown_timeout=CONNECTION_CLOSE_TIMEOUT_S)
         await self._runner.setup()
         await web.TCPSite(self._runner, self._bind, self._port).start()
         ip, port = self._runner.addresses[0][:2]
         return Address(ip, port)
 
     async def close(self) -> None:
-        """Stop listening and break open connections."""
+        """Stop listening and close all connections."""
         if self._runner is None:
             return
         runner, self._runner = self._runner, None
@@ -87,24 +91,24 @@
         attempt_id = request.headers.get("Attempt-Id", "")
         if not attempt_id:
             return web.json_response({"rule": "Attempt-Id is required"}, status=400)
-        if self._connections() > CONNECTIONS or self._running >= SLOTS:
-            return self._not_accepted(attempt_id)
+        if self._connection_count() > CONNECTION_LIMIT or self._running >= SLOTS:
+            return self._refuse(attempt_id)
         self._running += 1
-        self.most_running = max(self.most_running, self._running)
+        self.peak_running = max(self.peak_running, self._running)
         try:
             return await self._run_in_slot(request, attempt_id)
         finally:
             self._running -= 1
 
-    def _connections(self) -> int:
+    def _connection_count(self) -> int:
         if self._runner is None or self._runner.server is None:
             return 0
         return len(self._runner.server.connections)
 
-    def _not_accepted(self, attempt_id: str) -> web.Response:
-        response = web.Response(status=503, text=NOT_ACCEPTED)
+    def _refuse(self, attempt_id: str) -> web.Response:
+        response = web.Response(status=503, text=NOT_ACCEPTED_TEXT)
         response.headers["Attempt-Id"] = attempt_id
-        if self._connections() > CONNECTIONS:
+        if self._connection_count() > CONNECTION_LIMIT:
             response.force_close()
         return response
 
@@ -115,35 +119,35 @@
             body = _parse_body(await request.read())
         except BadInput as error:
             return web.json_response({"rule": error.rule}, status=400)
-        await self.faults.unpaused()
-        if self.faults.take("drop_before"):
-            return _drop(request)
+        await self.faults.wait_while_paused()
+        if self.faults.consume("drop_before"):
+            return _abort_connection(request)
         route = request.headers.get("Route", "")
         self.ran.append(RanEntry(attempt_id, route, body.answer))
-        slow = self.faults.take("slow")
+        slow = self.faults.consume("slow")
         await asyncio.sleep(body.sleep_s + (slow.seconds if slow else 0.0))
-        if self.faults.take("drop_after"):
-            return _drop(request)
-        return await self._answer(request, attempt_id, body)
+        if self.faults.consume("drop_after"):
+            return _abort_connection(request)
+        return await self._send_answer(request, attempt_id, body)
 
-    async def _answer(
+    async def _send_answer(
         self, request: web.Request, attempt_id: str, body: RunBody
     ) -> web.StreamResponse:
         content = body.answer.encode()
-        if long := self.faults.take("over_long"):
+        if long := self.faults.consume("over_long"):
             content += b"x" * long.extra_bytes
-        shown, self._last_attempt = attempt_id, attempt_id
-        if self.faults.take("wrong_attempt"):
-            shown = f"{attempt_id}-other"
-        status = 500 if body.fail or self.faults.take("fail") else 200
-        if self.faults.take("truncate"):
-            return await _truncated(request, shown, content)
+        sent_id, self._last_attempt = attempt_id, attempt_id
+        if self.faults.consume("wrong_attempt"):
+            sent_id = f"{attempt_id}-other"
+        status = 500 if body.fail or self.faults.consume("fail") else 200
+        if self.faults.consume("truncate"):
+            return await _send_truncated(request, sent_id, content)
         response = web.Response(status=status, body=content)
-        response.headers["Attempt-Id"] = shown
-        if self.faults.take("duplicate"):
+        response.headers["Attempt-Id"] = sent_id
+        if self.faults.consume("duplicate"):
             await response.prepare(request)
             await response.write_eof()
-            _write_again(request, shown, content)
+            _send_duplicate(request, sent_id, content)
         return response
 
     async def _list_ran(self, request: web.Request) -> web.Response:
@@ -166,7 +170,7 @@
 
 
 def _parse_body(data: bytes) -> RunBody:
-    """Return the instructions in a body; a body that is no JSON is echoed."""
+    """Return the instructions; a body that is not a JSON object is echoed."""
     try:
         plain = msgspec.json.decode(data)
     except msgspec.DecodeError:
@@ -180,16 +184,16 @@
     return body
 
 
-def _drop(request: web.Request) -> web.Response:
+def _abort_connection(request: web.Request) -> web.Response:
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
 
 
-async def _truncated(
+async def _send_truncated(
     request: web.Request, attempt_id: str, content: bytes
 ) -> web.StreamResponse:
-    """Announce one byte more than is sent, then break the connection."""
+    """Announce one byte more than is sent, then close the connection."""
     response = web.StreamResponse(headers={"Attempt-Id": attempt_id})
     response.content_length = len(content) + 1
     await response.prepare(request)
@@ -199,7 +203,7 @@
     return response
 
 
-def _write_again(request: web.Request, attempt_id: str, content: bytes) -> None:
+def _send_duplicate(request: web.Request, attempt_id: str, content: bytes) -> None:
     """Send the same answer a second time on the same connection."""
     if request.transport is None:
         return
--- a/libs/standins/src/bilberryhitch_standins/platform_server.py
+++ b/libs/standins/src/bilberryhitch_standins/platform_server.py
@@ -24,20 +24,20 @@
 )
 
 MAX_HOST_BYTES = 16 * 1024
-MAX_SNAPSHOTS = 10_000
+MAX_HOST_SNAPSHOTS = 10_000
 FAULTS_PATH = "/faults"
-SHUTDOWN_S = 0.5
+CONNECTION_CLOSE_TIMEOUT_S = 0.5
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """Fault switches; ``PUT /faults`` replaces all of them.
+    """Active faults; ``PUT /faults`` replaces all of them.
 
-    :ivar down: every call is refused before it has an effect
-    :ivar slow_s: seconds added before every call
-    :ivar lose_answers: how many of the next writes apply and then break the
-        connection instead of answering
+    :ivar down: refuse every call before it has an effect
+    :ivar slow_s: delay before every call, in seconds
+    :ivar lose_answers: number of the next writes that are applied and whose
+        connection is then aborted without an answer
     :ivar host_list_lag_s: age of the host list that is served, in seconds
     """
 
@@ -48,21 +48,21 @@
 
 
 class PlatformStandin:
-    """The in-memory platform behind HTTP.
+    """HTTP server of the platform, with its state in memory.
 
-    :param bind: IP number to listen on
-    :param port: TCP port, or 0 for one that the kernel chooses
-    :ivar faults: fault switches, also served under ``/faults``
-    :ivar reads: table reads served
-    :ivar writes: transactions served
+    :param bind: IP address to listen on
+    :param port: TCP port; 0 lets the kernel choose
+    :ivar faults: active faults, also served under ``/faults``
+    :ivar reads: number of table reads served
+    :ivar writes: number of transactions served
     """
 
     def __init__(self, bind: str = "127.0.0.1", port: int = 0) -> None:
         self._bind = bind
         self._port = port
         self._runner: web.AppRunner | None = None
-        self._snapshots: deque[tuple[float, tuple[Host, ...]]] = deque(
-            maxlen=MAX_SNAPSHOTS
+        self._host_snapshots: deque[tuple[float, tuple[Host, ...]]] = deque(
+            maxlen=MAX_HOST_SNAPSHOTS
         )
         self.tables = MemoryTables()
         self.objects = MemoryObjects()
@@ -74,16 +74,16 @@
     async def start(self) -> Address:
         """Listen.
 
-        :returns: the address in use
+        :returns: the address that clients connect to
         :raises OSError: the address cannot be bound
         """
         application = web.Application(
             client_max_size=MAX_OBJECT_BYTES, middlewares=[self._inject_faults]
         )
         application.add_routes(self._routes())
-        await self._record_hosts()
+        await self._record_host_snapshot()
         self._runner = web.AppRunner(
-            application, access_log=None, shutdown_timeout=SHUTDOWN_S
+            application, access_log=None, shutdown_timeout=CONNECTION_CLOSE_TIMEOUT_S
         )
         await self._runner.setup()
         await web.TCPSite(self._runner, self._bind, self._port).start()
@@ -91,7 +91,7 @@
         return Address(ip, port)
 
     async def close(self) -> None:
-        """Stop listening and close every connection."""
+        """Stop listening and close all connections."""
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
@@ -119,22 +119,24 @@
         if self.faults.slow_s:
             await asyncio.sleep(self.faults.slow_s)
         if self.faults.down:
-            return _refused(503, "down")
+            return _build_refusal(503, "down")
         try:
             response = await handler(request)
         except (BadInput, msgspec.DecodeError, ValueError) as error:
-            return _refused(400, str(error))
+            return _build_refusal(400, str(error))
         except web.HTTPException as error:
-            return _refused(error.status, error.reason)
+            return _build_refusal(error.status, error.reason)
         if request.method != "GET" and self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            _break_connection(request)
+            _abort_transport(request)
         return response
 
     async def _get_row(self, request: web.Request) -> web.Response:
         self.reads += 1
         row = await self.tables.get(request.query.get("key", ""))
-        return _json(RowAnswer(None if row is None else WireRow.from_row(row)))
+        return _build_json_response(
+            RowAnswer(None if row is None else WireRow.from_row(row))
+        )
 
     async def _scan(self, request: web.Request) -> web.Response:
         self.reads += 1
@@ -146,70 +148,72 @@
             query.get("after", ""),
             max(limit, 1),
         )
-        return _json(PageAnswer.from_page(page))
+        return _build_json_response(PageAnswer.from_page(page))
 
     async def _transact(self, request: web.Request) -> web.Response:
-        body = await _limited_body(request, MAX_TRANSACTION_BYTES)
+        body = await _read_limited_body(request, MAX_TRANSACTION_BYTES)
         transaction = msgspec.json.decode(body, type=Transaction)
         self.writes += 1
         result = await self.tables.transact(
             transaction.to_expects(), transaction.to_writes()
         )
         if result.is_ok():
-            return _json(Committed(result.ok))
+            return _build_json_response(Committed(result.ok))
         conflict = result.error
-        return _json(Conflicted(conflict.key, conflict.found_revision), status=409)
+        return _build_json_response(
+            Conflicted(conflict.key, conflict.found_revision), status=409
+        )
 
     async def _put_object(self, request: web.Request) -> web.Response:
-        body = await _limited_body(request, MAX_OBJECT_BYTES)
+        body = await _read_limited_body(request, MAX_OBJECT_BYTES)
         await self.objects.put_object(request.match_info["key"], body)
-        return _json({})
+        return _build_json_response({})
 
     async def _get_object(self, request: web.Request) -> web.Response:
         body = await self.objects.get_object(request.match_info["key"])
         if body is None:
-            return _refused(404, "no such object")
+            return _build_refusal(404, "no such object")
         return web.Response(body=body)
 
     async def _list_hosts(self, request: web.Request) -> web.Response:
-        until_s = asyncio.get_running_loop().time() - self.faults.host_list_lag_s
-        hosts: tuple[Host, ...] = self._snapshots[0][1]
-        for recorded_s, snapshot in self._snapshots:
-            if recorded_s > until_s:
+        as_of_s = asyncio.get_running_loop().time() - self.faults.host_list_lag_s
+        hosts: tuple[Host, ...] = self._host_snapshots[0][1]
+        for recorded_s, snapshot in self._host_snapshots:
+            if recorded_s > as_of_s:
                 break
             hosts = snapshot
         return web.Response(body=encode(hosts), content_type="application/json")
 
     async def _put_host(self, request: web.Request) -> web.Response:
-        body = await _limited_body(request, MAX_HOST_BYTES)
+        body = await _read_limited_body(request, MAX_HOST_BYTES)
         host = decode(Host, body)
         if host.name != request.match_info["name"]:
             raise BadInput("name", host.name, "must be the name in the path")
         self.host_list.set_host(host)
-        await self._record_hosts()
-        return _json({})
+        await self._record_host_snapshot()
+        return _build_json_response({})
 
     async def _delete_host(self, request: web.Request) -> web.Response:
         self.host_list.remove_host(request.match_info["name"])
-        await self._record_hosts()
-        return _json({})
+        await self._record_host_snapshot()
+        return _build_json_response({})
 
-    async def _record_hosts(self) -> None:
+    async def _record_host_snapshot(self) -> None:
         now_s = asyncio.get_running_loop().time()
-        self._snapshots.append((now_s, tuple(await self.host_list.list_hosts())))
+        self._host_snapshots.append((now_s, tuple(await self.host_list.list_hosts())))
 
     async def _get_faults(self, request: web.Request) -> web.Response:
-        return _json(self.faults)
+        return _build_json_response(self.faults)
 
     async def _put_faults(self, request: web.Request) -> web.Response:
         try:
             self.faults = msgspec.json.decode(await request.read(), type=Faults)
         except msgspec.DecodeError as error:
-            return _refused(400, str(error))
-        return _json(self.faults)
+            return _build_refusal(400, str(error))
+        return _build_json_response(self.faults)
 
 
-async def _limited_body(request: web.Request, limit: int) -> bytes:
+async def _read_limited_body(request: web.Request, limit: int) -> bytes:
     if (request.content_length or 0) > limit:
         raise web.HTTPRequestEntityTooLarge(limit, request.content_length or 0)
     body = await request.read()
@@ -218,19 +222,19 @@
     return body
 
 
-def _break_connection(request: web.Request) -> None:
+def _abort_transport(request: web.Request) -> None:
     if request.transport is not None:
         request.transport.abort()
 
 
-def _json(body: object, status: int = 200) -> web.Response:
+def _build_json_response(body: object, status: int = 200) -> web.Response:
     return web.Response(
         body=msgspec.json.encode(body), status=status, content_type="application/json"
     )
 
 
-def _refused(status: int, reason: str) -> web.Response:
-    """Answer that the call had no effect."""
-    response = _json({"reason": reason}, status)
+def _build_refusal(status: int, reason: str) -> web.Response:
+    """Return an error response whose header says that the call had no effect."""
+    response = _build_json_response({"reason": reason}, status)
     response.headers[EFFECT_HEADER] = NO_EFFECT
     return response
--- a/libs/standins/src/bilberryhitch_standins/simulated_fleet.py
+++ b/libs/standins/src/bilberryhitch_standins/simulated_fleet.py
@@ -1,6 +1,7 @@
-"""A model of workers that run tasks under leases; time is passed in.
+"""Simulation of workers that run tasks under leases, without I/O.
 
-Used by the stand-in of a worker's interface, by the emulator and by tests.
+The caller passes the time. The stand-in of the worker protocol, the job emulator and
+tests use it.
 """
 
 from collections.abc import Callable
@@ -19,12 +20,17 @@
 
 
 class TaskProfile(NamedTuple):
-    """What a task really is.
-
-    :param work_s: time that it needs on a worker of speed 1
-    :param gang_size: tasks that work only together; 1 for a single task
-    :param fails: it ends in failure
-    :param checkpoint_period_s: period of its checkpoints; 0 if it makes none
+    """Actual run time, demand and outcome of a task, which the planner doesn't know.
+
+    :param work_s: run time in seconds on a worker of speed 1
+    :param demand: resources that the task uses
+    :param gang_size: number of tasks of the gang, which progress only while all of
+        them run; 1 for a single task
+    :param fails: the task fails at the end of its run time
+    :param checkpoint_period_s: seconds of work between checkpoints; 0 for a task that
+        saves none
+    :param same_rack: the gang runs slower if it spans racks
+    :param data_rack: the task runs slower on other racks; empty for no preference
     """
 
     work_s: float
@@ -37,124 +43,139 @@
 
 
 class WorkerParameters(NamedTuple):
-    """Bounds of the platform, in seconds."""
+    """Timings of the simulated workers.
+
+    :param max_lease_extension_s: longest time by which a call extends the lease
+    :param stop_duration_s: seconds from a stop call to the end of the run
+    :param gang_assembly_timeout_s: seconds after which an incomplete gang ends
+    :param restore_s: not used
+    :param placement_slowdown: factor by which an unfavourable rack slows a run
+    """
 
-    hold_max_s: float = 10.0
+    max_lease_extension_s: float = 10.0
     stop_duration_s: float = 0.4
-    gang_s: float = 3.0
+    gang_assembly_timeout_s: float = 3.0
     restore_s: float = 0.1
-    away_factor: float = 3.0
+    placement_slowdown: float = 3.0
 
 
 class _Run:
     def __init__(
-        self, worker: "SimulatedWorker", truth: TaskProfile, number: int, now: float
+        self, worker: "SimulatedWorker", profile: TaskProfile, number: int, now: float
     ) -> None:
         self.worker = worker
-        self.truth = truth
+        self.profile = profile
         self.number = number
-        self.began = now
+        self.started_at = now
         self.done_s = 0.0
         self.saved_s = 0.0
         self.stop_at: float | None = None
         self.task: TaskName
 
     def percent(self) -> float:
-        return 100.0 * self.done_s / self.truth.work_s if self.truth.work_s else 100.0
+        return (
+            100.0 * self.done_s / self.profile.work_s if self.profile.work_s else 100.0
+        )
 
 
 class SimulatedFleet:
     """All workers of a pool and the gangs that span them.
 
-    :param truth: what each task really is
-    :ivar duplicate_runs: tasks that were seen to run twice at a time
-    :ivar overcommitted: starts that brought a worker over its capacity
+    :param get_profile: returns the profile of a task
+    :ivar workers: workers by the identifier of the incarnation
+    :ivar duplicate_runs: tasks started while another run of them was in
+        progress
+    :ivar overcommitted: tasks whose start exceeded the capacity of a worker
+    :ivar wasted_core_s: core-seconds of lost work; a GPU counts as 8 cores
     """
 
     def __init__(
         self,
-        truth: Callable[[TaskName], TaskProfile],
-        terms: WorkerParameters | None = None,
+        get_profile: Callable[[TaskName], TaskProfile],
+        parameters: WorkerParameters | None = None,
     ) -> None:
         self.workers: dict[str, SimulatedWorker] = {}
         self.duplicate_runs: list[TaskName] = []
         self.overcommitted: list[TaskName] = []
         self.wasted_core_s = 0.0
-        self._truth = truth
-        self._terms = terms or WorkerParameters()
+        self._get_profile = get_profile
+        self._parameters = parameters or WorkerParameters()
         self._gangs: dict[tuple[str, int, int, int], dict[int, _Run]] = {}
 
     def add_worker(self, entry: WorkerEntry, speed: float = 1.0) -> "SimulatedWorker":
-        """Start a worker."""
+        """Add a worker that runs tasks at a multiple of the normal speed."""
         worker = SimulatedWorker(self, entry, speed)
         self.workers[entry.worker] = worker
         return worker
 
     def advance(self, now: float) -> None:
-        """Let time pass on all workers."""
+        """Simulate all workers up to the time ``now``, in seconds."""
         for worker in self.workers.values():
             worker.advance(now)
         for key, members in list(self._gangs.items()):
-            self._advance_gang(key, members, now)
+            self._end_incomplete_gang(key, members, now)
 
-    def truth_of(self, task: TaskName) -> TaskProfile:
-        """Return what a task really is."""
-        return self._truth(task)
+    def get_profile(self, task: TaskName) -> TaskProfile:
+        """Return the profile of a task."""
+        return self._get_profile(task)
 
     @property
-    def terms(self) -> WorkerParameters:
-        """Bounds of the platform."""
-        return self._terms
+    def parameters(self) -> WorkerParameters:
+        """Timings of the simulated workers."""
+        return self._parameters
 
-    def join(self, run: _Run) -> None:
-        """Note a start, and what it breaks."""
+    def register_run(self, run: _Run) -> None:
+        """Add a started run to its gang and record a duplicate run of its task."""
         task = run.task
         for worker in self.workers.values():
-            if worker.alive and worker.runs_task(task, besides=run):
+            if worker.alive and worker.has_other_run(task, excluded=run):
                 self.duplicate_runs.append(task)
-        if run.truth.gang_size > 1:
+        if run.profile.gang_size > 1:
             key = (task.job, task.occurrence, task.step, run.number)
             self._gangs.setdefault(key, {})[task.ordinal] = run
 
-    def complete(self, run: _Run) -> bool:
-        """Return whether all members of the run's gang are present."""
-        if run.truth.gang_size == 1:
+    def has_all_members(self, run: _Run) -> bool:
+        """Return whether all tasks of the run's gang are running."""
+        if run.profile.gang_size == 1:
             return True
-        return len(self._members(run)) == run.truth.gang_size
-
-    def factor(self, run: _Run) -> float:
-        """Return how much slower a run is because of where it and its gang are."""
-        truth = run.truth
-        racks = {member.worker.entry.rack for member in self._members(run).values()}
-        away = bool(truth.data_rack) and run.worker.entry.rack != truth.data_rack
-        if away or (truth.same_rack and len(racks) > 1):
-            return self._terms.away_factor
+        return len(self._get_members(run)) == run.profile.gang_size
+
+    def get_slowdown(self, run: _Run) -> float:
+        """Return the factor by which the racks of a run and its gang slow it down."""
+        profile = run.profile
+        racks = {member.worker.entry.rack for member in self._get_members(run).values()}
+        remote = bool(profile.data_rack) and run.worker.entry.rack != profile.data_rack
+        if remote or (profile.same_rack and len(racks) > 1):
+            return self._parameters.placement_slowdown
         return 1.0
 
-    def end(self, run: _Run, how: EndKind, now: float) -> None:
-        """End a run and, with it, its gang."""
-        members = list(self._members(run).values())
+    def end_run(self, run: _Run, how: EndKind, now: float) -> None:
+        """End a run and all other runs of its gang."""
+        members = list(self._get_members(run).values())
         key = (run.task.job, run.task.occurrence, run.task.step, run.number)
         self._gangs.pop(key, None)
-        run.worker.list_end(run, how)
+        run.worker.record_end(run, how)
         for member in members:
             if member is not run:
                 other = EndKind.DONE if how is EndKind.DONE else EndKind.BROKEN
-                member.worker.list_end(member, other)
+                member.worker.record_end(member, other)
 
-    def _members(self, run: _Run) -> dict[int, _Run]:
+    def _get_members(self, run: _Run) -> dict[int, _Run]:
         key = (run.task.job, run.task.occurrence, run.task.step, run.number)
         return self._gangs.get(key, {run.task.ordinal: run})
 
-    def _advance_gang(
+    def _end_incomplete_gang(
         self, key: tuple[str, int, int, int], members: dict[int, _Run], now: float
     ) -> None:
         first = next(iter(members.values()))
-        if len(members) == first.truth.gang_size:
+        if len(members) == first.profile.gang_size:
             return
-        if now - min(run.began for run in members.values()) > self._terms.gang_s:
+        if (
+            now - min(run.started_at for run in members.values())
+            > self._parameters.gang_assembly_timeout_s
+        ):
             for run in list(members.values()):
-                run.worker.list_end(run, EndKind.ALONE)
+                run.worker.record_end(run, EndKind.ALONE)
             self._gangs.pop(key, None)
 
 
@@ -162,8 +183,9 @@
     """One incarnation of a worker.
 
     :ivar alive: false after a crash
-    :ivar fails_all: every run fails soon after its start
-    :ivar stalled: nothing makes progress
+    :ivar fails_all: every run fails after a tenth of its work
+    :ivar stalled: no run makes progress
+    :ivar clock_offset: seconds by which the worker's clock is ahead
     """
 
     def __init__(self, fleet: SimulatedFleet, entry: WorkerEntry, speed: float) -> None:
@@ -176,27 +198,27 @@
         self._fleet = fleet
         self._runs: dict[TaskName, _Run] = {}
         self._ends: list[EndedTask] = []
-        self._barred: dict[TaskName, int] = {}
-        self._count = 0
-        self._token = 0
-        self._lease = float("inf")
+        self._highest_closed_run: dict[TaskName, int] = {}
+        self._last_end_sequence = 0
+        self._highest_token = 0
+        self._lease_until = float("inf")
         self._now = 0.0
 
     @property
     def running(self) -> int:
-        """Number of runs."""
+        """Number of runs in progress."""
         return len(self._runs)
 
     @property
     def ends(self) -> list[EndedTask]:
-        """Ends that are not acknowledged."""
+        """Ended tasks that the planner has not acknowledged."""
         return self._ends
 
     def crash(self) -> None:
-        """Lose everything at once."""
+        """Mark the worker as crashed and end all of its runs."""
         self.alive = False
         for run in list(self._runs.values()):
-            self._fleet.end(run, EndKind.LAPSED, self._now)
+            self._fleet.end_run(run, EndKind.LAPSED, self._now)
 
     def start(
         self,
@@ -208,36 +230,43 @@
         lease_until_s: float,
         now: float,
     ) -> StartOutcome:
-        """Answer a start."""
-        if not self._admit(token):
+        """Start a run unless the token, the lease or the run number forbids it.
+
+        :param number: run number of the task
+        :param saved: checkpoint to resume from, as seconds of work; empty for none
+        :param lease_until_s: end of the lease on the worker's clock
+        """
+        if not self._accept_token(token):
             return StartOutcome.FENCED
         if lease_until_s <= now + self.clock_offset:
             return StartOutcome.LATE
-        self._extend(lease_until_s, now)
-        present = self._runs.get(task)
-        if present is not None and present.number == number:
+        self._extend_lease(lease_until_s, now)
+        existing = self._runs.get(task)
+        if existing is not None and existing.number == number:
             return StartOutcome.STARTED
-        if number <= self._barred.get(task, 0) or present is not None:
+        if number <= self._highest_closed_run.get(task, 0) or existing is not None:
             return StartOutcome.OLD
-        run = _Run(self, self._fleet.truth_of(task), number, now)
+        run = _Run(self, self._fleet.get_profile(task), number, now)
         run.task = task
         run.saved_s = run.done_s = float(saved or 0)
         self._runs[task] = run
-        if not self._used().fits(self.entry.capacity):
+        if not self._used_resources().fits(self.entry.capacity):
             self._fleet.overcommitted.append(task)
-        self._fleet.join(run)
+        self._fleet.register_run(run)
         return StartOutcome.STARTED
 
     def stop(
         self, task: TaskName, number: int, *, token: int, now: float
     ) -> StopOutcome:
-        """Answer a stop."""
-        if not self._admit(token):
+        """Stop runs of a task up to a run number, and refuse their later starts."""
+        if not self._accept_token(token):
             return StopOutcome.FENCED
-        self._barred[task] = max(number, self._barred.get(task, 0))
+        self._highest_closed_run[task] = max(
+            number, self._highest_closed_run.get(task, 0)
+        )
         run = self._runs.get(task)
         if run is not None and run.number <= number and run.stop_at is None:
-            run.stop_at = now + self._fleet.terms.stop_duration_s
+            run.stop_at = now + self._fleet.parameters.stop_duration_s
         return StopOutcome.STOPPED
 
     def hold(
@@ -248,11 +277,17 @@
         lease_until_s: float | None,
         now: float,
     ) -> HeartbeatReply | None:
-        """Answer a hold; None for a token that is too low."""
-        if not self._admit(token):
+        """Extend the lease and list the runs.
+
+        :param acknowledged: highest sequence number of ended tasks to drop
+        :param lease_until_s: end of the lease on the worker's clock; ``None`` leaves
+            it unchanged
+        :returns: ``None`` if the token is lower than one seen before
+        """
+        if not self._accept_token(token):
             return None
         if lease_until_s is not None:
-            self._extend(lease_until_s, now)
+            self._extend_lease(lease_until_s, now)
         self._ends = [end for end in self._ends if end.sequence > acknowledged]
         running = tuple(
             RunningTask(task, run.number, self._checkpoint(run), run.percent())
@@ -261,73 +296,82 @@
         return HeartbeatReply(now + self.clock_offset, 0, running, tuple(self._ends))
 
     def advance(self, now: float) -> None:
-        """Let time pass."""
-        passed, self._now = now - self._now, now
+        """Simulate the runs up to the time ``now``, in seconds."""
+        elapsed_s, self._now = now - self._now, now
         if not self.alive:
             return
-        lapsed = now > self._lease
+        lapsed = now > self._lease_until
         for run in list(self._runs.values()):
             if run.task not in self._runs:
                 continue
             if lapsed:
-                self._fleet.end(run, EndKind.LAPSED, now)
+                self._fleet.end_run(run, EndKind.LAPSED, now)
             elif run.stop_at is not None and now >= run.stop_at:
-                self._fleet.end(run, EndKind.STOPPED, now)
+                self._fleet.end_run(run, EndKind.STOPPED, now)
             else:
-                self._work(run, passed, now)
+                self._advance_run(run, elapsed_s, now)
 
-    def runs_task(self, task: TaskName, besides: _Run) -> bool:
-        """Return whether another run of a task is here."""
+    def has_other_run(self, task: TaskName, excluded: _Run) -> bool:
+        """Return whether the worker has a run of the task other than ``excluded``."""
         run = self._runs.get(task)
-        return run is not None and run is not besides
+        return run is not None and run is not excluded
 
-    def list_end(self, run: _Run, how: EndKind) -> None:
-        """Move a run to the ends."""
+    def record_end(self, run: _Run, how: EndKind) -> None:
+        """Remove a run and list it as ended."""
         if self._runs.pop(run.task, None) is None:
             return
-        self._barred[run.task] = max(run.number, self._barred.get(run.task, 0))
+        self._highest_closed_run[run.task] = max(
+            run.number, self._highest_closed_run.get(run.task, 0)
+        )
         if how is not EndKind.DONE:
             kept = run.done_s if how is EndKind.STOPPED else run.saved_s
-            lost = run.done_s - (kept if run.truth.checkpoint_period_s else 0.0)
-            demand = run.truth.demand
+            lost = run.done_s - (kept if run.profile.checkpoint_period_s else 0.0)
+            demand = run.profile.demand
             self._fleet.wasted_core_s += lost * (demand.cpu / 1000 + 8 * demand.gpu)
         if self.alive:
-            self._count += 1
+            self._last_end_sequence += 1
             saved = self._checkpoint(run, stopped=how is EndKind.STOPPED)
-            self._ends.append(EndedTask(self._count, run.task, run.number, how, saved))
+            self._ends.append(
+                EndedTask(self._last_end_sequence, run.task, run.number, how, saved)
+            )
 
-    def _work(self, run: _Run, passed: float, now: float) -> None:
-        if self.stalled or not self._fleet.complete(run):
+    def _advance_run(self, run: _Run, elapsed_s: float, now: float) -> None:
+        if self.stalled or not self._fleet.has_all_members(run):
             return
-        run.done_s += passed * self.speed / self._fleet.factor(run)
-        if run.truth.checkpoint_period_s:
-            run.saved_s = run.done_s - run.done_s % run.truth.checkpoint_period_s
-        if self.fails_all and run.done_s > 0.1 * run.truth.work_s:
-            self._fleet.end(run, EndKind.FAILED, now)
-        elif run.done_s >= run.truth.work_s:
-            how = EndKind.FAILED if run.truth.fails else EndKind.DONE
-            self._fleet.end(run, how, now)
-
-    def _admit(self, token: int) -> bool:
-        if token < self._token:
+        run.done_s += elapsed_s * self.speed / self._fleet.get_slowdown(run)
+        if run.profile.checkpoint_period_s:
+            run.saved_s = run.done_s - run.done_s % run.profile.checkpoint_period_s
+        if self.fails_all and run.done_s > 0.1 * run.profile.work_s:
+            self._fleet.end_run(run, EndKind.FAILED, now)
+        elif run.done_s >= run.profile.work_s:
+            how = EndKind.FAILED if run.profile.fails else EndKind.DONE
+            self._fleet.end_run(run, how, now)
+
+    def _accept_token(self, token: int) -> bool:
+        if token < self._highest_token:
             return False
-        self._token = token
+        self._highest_token = token
         return True
 
-    def _extend(self, lease_until_s: float, now: float) -> None:
+    def _extend_lease(self, lease_until_s: float, now: float) -> None:
         until = min(
-            lease_until_s - self.clock_offset, now + self._fleet.terms.hold_max_s
+            lease_until_s - self.clock_offset,
+            now + self._fleet.parameters.max_lease_extension_s,
+        )
+        self._lease_until = (
+            until
+            if self._lease_until == float("inf")
+            else max(self._lease_until, until)
         )
-        self._lease = until if self._lease == float("inf") else max(self._lease, until)
 
-    def _used(self) -> Resources:
+    def _used_resources(self) -> Resources:
         used = Resources()
         for run in self._runs.values():
-            used = used.plus(run.truth.demand)
+            used = used.plus(run.profile.demand)
         return used
 
     def _checkpoint(self, run: _Run, *, stopped: bool = False) -> str:
-        if not run.truth.checkpoint_period_s:
+        if not run.profile.checkpoint_period_s:
             return ""
         value = run.done_s if stopped else run.saved_s
         return f"{value:.3f}" if value else ""
--- a/libs/standins/src/bilberryhitch_standins/worker_server.py
+++ b/libs/standins/src/bilberryhitch_standins/worker_server.py
@@ -1,4 +1,4 @@
-"""The worker stand-in: the worker protocol over HTTP, with fault switches."""
+"""Stand-in of a worker: the worker protocol over HTTP, with fault injection."""
 
 import asyncio
 import time
@@ -14,22 +14,25 @@
 
 HTTP_CONFLICT = 409
 HTTP_BAD_REQUEST = 400
-MODEL_SWITCHES = ("refuse_starts", "fail_everything", "ignore_checkpoint")
+MODEL_FAULTS = ("refuse_starts", "fail_everything", "ignore_checkpoint")
 USAGE_SAMPLES = 1000
 
 Action = Callable[[dict[str, Any]], object]
 
 
 class WorkerStandin:
-    """One worker behind a TCP port.
-
-    ``POST /faults`` sets switches: ``refuse_starts``, ``fail_everything``,
-    ``ignore_checkpoint``, ``paused`` (calls wait), ``slow_s`` (seconds before
-    each call) and ``lose_answers`` (how many calls are carried out without an
-    answer). ``POST /faults/restart`` loses every lease.
-
-    :param lag_s: age of the usage that is reported, in seconds
-    :ivar model: the lease table behind the server
+    """HTTP server of one simulated worker.
+
+    ``POST /faults`` sets the faults given in its body: ``refuse_starts``,
+    ``fail_everything``, ``ignore_checkpoint``, ``paused`` (calls wait), ``slow_s``
+    (delay before each call, in seconds) and ``lose_answers`` (number of calls that are
+    carried out without an answer). ``POST /faults/restart`` simulates a restart of the
+    worker, which loses all leases.
+
+    :param bind: IP address to listen on
+    :param port: TCP port; 0 lets the kernel choose
+    :param lag_s: age of the reported usage, in seconds
+    :ivar model: lease table of the worker
     """
 
     def __init__(
@@ -38,16 +41,21 @@
         self.model = WorkerModel(host, time.monotonic)
         self._bind = bind
         self._port = port
-        self._lag_s = lag_s
-        self._slow_s = 0.0
+        self._usage_lag_s = lag_s
+        self._delay_s = 0.0
         self._lose_answers = 0
-        self._running = asyncio.Event()
-        self._running.set()
-        self._usage: deque[tuple[float, dict[str, int]]] = deque(maxlen=USAGE_SAMPLES)
+        self._unpaused = asyncio.Event()
+        self._unpaused.set()
+        self._usage_samples: deque[tuple[float, dict[str, int]]] = deque(
+            maxlen=USAGE_SAMPLES
+        )
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> Address:
-        """Listen; returns the address, with the port the kernel chose."""
+        """Listen.
+
+        :returns: the address that callers connect to
+        """
         app = web.Application()
         app.add_routes(self._routes())
         self._runner = web.AppRunner(app, shutdown_timeout=0.1)
@@ -58,8 +66,8 @@
         return Address(ip, port)
 
     async def close(self) -> None:
-        """Stop listening and drop every connection."""
-        self._running.set()
+        """Stop listening and close all connections."""
+        self._unpaused.set()
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
@@ -75,11 +83,13 @@
             "/v1/leases/stop": lambda body: model.stop(**body),
             "/v1/leases/release": lambda body: model.release(**body),
         }
-        routes = [web.post(path, self._post(act)) for path, act in actions.items()]
+        routes = [
+            web.post(path, self._post(action)) for path, action in actions.items()
+        ]
         return [
             *routes,
             web.get("/v1/state", self._get(lambda _: model.state())),
-            web.get("/v1/usage", self._get(lambda _: self._lagging_usage())),
+            web.get("/v1/usage", self._get(lambda _: self._get_delayed_usage())),
             web.get("/v1/history", self._get(lambda _: model.history)),
             web.post("/faults", self._set_faults),
             web.post("/faults/restart", self._restart),
@@ -101,49 +111,49 @@
     async def _answer(
         self, request: web.Request, action: Action, body: dict[str, Any]
     ) -> web.StreamResponse:
-        await self._running.wait()
-        if self._slow_s:
-            await asyncio.sleep(self._slow_s)
-        response = self._carry_out(action, body)
-        self._usage.append((time.monotonic(), self.model.usage()))
+        await self._unpaused.wait()
+        if self._delay_s:
+            await asyncio.sleep(self._delay_s)
+        response = self._call_model(action, body)
+        self._usage_samples.append((time.monotonic(), self.model.usage()))
         if self._lose_answers > 0 and request.transport is not None:
             self._lose_answers -= 1
             request.transport.abort()
         return response
 
     @staticmethod
-    def _carry_out(action: Action, body: dict[str, Any]) -> web.Response:
+    def _call_model(action: Action, body: dict[str, Any]) -> web.Response:
         try:
             return web.json_response(to_plain(action(body)))
         except StaleToken as error:
-            plain = {"highest": error.highest}
-            return web.json_response(plain, status=HTTP_CONFLICT)
+            document = {"highest": error.highest}
+            return web.json_response(document, status=HTTP_CONFLICT)
         except WorkerRefused as error:
-            plain_reason = {"reason": error.reason}
-            return web.json_response(plain_reason, status=HTTP_CONFLICT)
+            refusal = {"reason": error.reason}
+            return web.json_response(refusal, status=HTTP_CONFLICT)
         except (TypeError, ValueError) as error:
-            plain_reason = {"reason": str(error)}
-            return web.json_response(plain_reason, status=HTTP_BAD_REQUEST)
+            refusal = {"reason": str(error)}
+            return web.json_response(refusal, status=HTTP_BAD_REQUEST)
 
-    def _lagging_usage(self) -> dict[str, int]:
-        """Return the newest sample that is at least ``lag_s`` old."""
-        before = time.monotonic() - self._lag_s
-        samples = [usage for at, usage in self._usage if at <= before]
+    def _get_delayed_usage(self) -> dict[str, int]:
+        """Return the newest usage sample that is at least ``lag_s`` seconds old."""
+        before = time.monotonic() - self._usage_lag_s
+        samples = [usage for at, usage in self._usage_samples if at <= before]
         if samples:
             return samples[-1]
         return {"accelerators": 0, "cores": 0, "memory_gb": 0}
 
     async def _set_faults(self, request: web.Request) -> web.Response:
-        switches = await request.json()
-        for name in MODEL_SWITCHES:
-            if name in switches:
-                setattr(self.model, name, bool(switches[name]))
-        self._slow_s = float(switches.get("slow_s", self._slow_s))
-        self._lose_answers = int(switches.get("lose_answers", self._lose_answers))
-        if switches.get("paused"):
-            self._running.clear()
-        elif "paused" in switches:
-            self._running.set()
+        faults = await request.json()
+        for name in MODEL_FAULTS:
+            if name in faults:
+                setattr(self.model, name, bool(faults[name]))
+        self._delay_s = float(faults.get("slow_s", self._delay_s))
+        self._lose_answers = int(faults.get("lose_answers", self._lose_answers))
+        if faults.get("paused"):
+            self._unpaused.clear()
+        elif "paused" in faults:
+            self._unpaused.set()
         return web.json_response({})
 
     async def _restart(self, _: web.Request) -> web.Response:
--- a/libs/standins/tests/test_executor_server.py
+++ b/libs/standins/tests/test_executor_server.py
@@ -18,43 +18,44 @@
         )
 
 
-def with_standin(check):
+def run_with_standin(scenario):
     async def main():
         standin = ExecutorStandin(HOST)
         address = await standin.start()
         try:
             async with aiohttp.ClientSession() as session:
-                await check(standin, session, f"http://{address.ip}:{address.port}")
+                await scenario(standin, session, f"http://{address.ip}:{address.port}")
         finally:
             await standin.close()
 
     asyncio.run(main())
 
 
-def test_answers_with_the_attempt_id_and_lists_what_ran():
-    async def check(standin, session, url):
+def test_answer_has_the_attempt_id_and_the_run_is_listed():
+    async def scenario(standin, session, url):
         assert await post(session, url, "a", {"answer": "hi"}) == (200, "a", "hi")
         async with session.get(f"{url}/v1/ran") as response:
             assert (await response.json())[0]["attempt_id"] == "a"
 
-    with_standin(check)
+    run_with_standin(scenario)
 
 
-def test_the_ninth_request_is_refused_before_it_runs():
-    # Guards against a stand-in that hides slot over-commit.
-    async def check(standin, session, url):
+def test_request_beyond_the_slots_is_refused_before_it_runs():
+    # Guards against a stand-in that runs more requests than it has slots, so that
+    # tests would not see overcommitted executors.
+    async def scenario(standin, session, url):
         calls = [post(session, url, f"a{n}", {"sleep_s": 0.2}) for n in range(9)]
         statuses = sorted([status for status, _, _ in await asyncio.gather(*calls)])
         assert statuses == [200] * SLOTS + [503]
-        assert len(standin.ran) == standin.most_running == SLOTS
+        assert len(standin.ran) == standin.peak_running == SLOTS
 
-    with_standin(check)
+    run_with_standin(scenario)
 
 
 @pytest.mark.parametrize("kind", ["drop_before", "drop_after", "truncate"])
-def test_fault_breaks_the_answer_once(kind):
-    # Guards against faults that do nothing or never end.
-    async def check(standin, session, url):
+def test_fault_affects_one_answer(kind):
+    # Guards against a fault that has no effect or outlasts its count of requests.
+    async def scenario(standin, session, url):
         async with session.post(f"{url}/faults", json={"kind": kind, "times": 1}) as r:
             assert await r.json() == [kind]
         with pytest.raises(aiohttp.ClientError):
@@ -62,12 +63,12 @@
         assert len(standin.ran) == (0 if kind == "drop_before" else 1)
         assert (await post(session, url, "b", {"answer": "hi"}))[0] == 200
 
-    with_standin(check)
+    run_with_standin(scenario)
 
 
 def test_unknown_fault_is_refused():
-    async def check(standin, session, url):
+    async def scenario(standin, session, url):
         async with session.post(f"{url}/faults", json={"kind": "nope"}) as response:
             assert response.status == 400
 
-    with_standin(check)
+    run_with_standin(scenario)
--- a/libs/standins/tests/test_platform_server.py
+++ b/libs/standins/tests/test_platform_server.py
@@ -11,7 +11,7 @@
 WORKER = Host("w1", "worker", "ruwi", "127.0.0.1:1", boot_id="b1")
 
 
-def with_platform(scenario):
+def run_with_platform(scenario):
     async def main():
         standin = PlatformStandin()
         address = await standin.start()
@@ -28,8 +28,8 @@
     asyncio.run(main())
 
 
-def test_rows_survive_the_wire_unchanged():
-    # Guards against values or keys that JSON and URLs would alter.
+def test_rows_are_transferred_unchanged():
+    # Guards against values or keys that the encoding as JSON or in a URL alters.
     async def scenario(standin, client):
         value = bytes(range(256))
         assert (await client.transact([], [Put("a/ü +&", value)])).ok == 1
@@ -42,21 +42,21 @@
         await client.transact([], [Delete("a/ü +&")])
         assert await client.get("a/ü +&") is None
 
-    with_platform(scenario)
+    run_with_platform(scenario)
 
 
-def test_objects_with_slashes_and_missing_objects():
+def test_object_key_with_slash_and_missing_object():
     async def scenario(standin, client):
         body = bytes(2 * 2**20)
         await client.put_object("saved/job 1", body)
         assert await client.get_object("saved/job 1") == body
         assert await client.get_object("saved/none") is None
 
-    with_platform(scenario)
+    run_with_platform(scenario)
 
 
-def test_a_store_that_is_down_is_unavailable_and_unchanged():
-    # Guards against an explicit refusal being reported as uncertain.
+def test_store_that_is_down_is_unavailable_and_unchanged():
+    # Guards against an explicit refusal that is reported as an uncertain write.
     async def scenario(standin, client):
         standin.faults.down = True
         with pytest.raises(StoreUnavailable):
@@ -65,11 +65,12 @@
             await client.get("a")
         assert standin.tables.revision == 0
 
-    with_platform(scenario)
+    run_with_platform(scenario)
 
 
-def test_a_lost_answer_is_uncertain_and_sent_once():
-    # Guards against a blind repeat by the client or by its connection pool.
+def test_write_with_lost_answer_is_uncertain_and_sent_once():
+    # Guards against a retry of an uncertain write by the client or its connection
+    # pool.
     async def scenario(standin, client):
         await client.transact([], [Put("warm", b"")])
         standin.faults.lose_answers = 1
@@ -78,10 +79,10 @@
         assert standin.writes == 2
         assert standin.tables.revision == 2
 
-    with_platform(scenario)
+    run_with_platform(scenario)
 
 
-def test_a_slow_store_is_uncertain_for_writes_only():
+def test_timeout_is_uncertain_for_writes_only():
     async def scenario(standin, client):
         standin.faults.slow_s = 3.0
         with pytest.raises(StoreAnswerLost):
@@ -89,20 +90,20 @@
         with pytest.raises(StoreUnavailable):
             await client.get("a")
 
-    with_platform(scenario)
+    run_with_platform(scenario)
 
 
-def test_a_refused_connection_is_unavailable():
+def test_refused_connection_is_reported_as_unavailable():
     async def scenario(standin, client):
         await standin.close()
         with pytest.raises(StoreUnavailable):
             await client.transact([], [Put("a", b"1")])
 
-    with_platform(scenario)
+    run_with_platform(scenario)
 
 
-def test_host_list_over_http_and_its_lag():
-    # Guards against a lag that shows the future or forgets the past.
+def test_host_list_is_served_with_its_lag():
+    # Guards against a delayed host list that shows newer entries or loses older ones.
     async def scenario(standin, client):
         url = f"{client._base_url}/v1/hosts/w1"
         async with client._session.put(url, data=encode(WORKER)) as answer:
@@ -121,10 +122,10 @@
             pass
         assert await client.list_hosts() == []
 
-    with_platform(scenario)
+    run_with_platform(scenario)
 
 
-def test_bodies_beyond_the_limit_are_refused_without_effect():
+def test_oversized_body_is_refused_without_effect():
     async def scenario(standin, client):
         url = f"{client._base_url}/v1/tables/transactions"
         async with client._session.post(
@@ -137,4 +138,4 @@
         ) as answer:
             assert answer.status == 400
 
-    with_platform(scenario)
+    run_with_platform(scenario)
--- a/libs/standins/tests/test_worker_model.py
+++ b/libs/standins/tests/test_worker_model.py
@@ -34,8 +34,8 @@
     return [event.kind for event in model.history]
 
 
-def test_lease_that_is_not_renewed_ends_with_its_task(model, clock):
-    # Guards against a stand-in on which tasks outlive their lease.
+def test_expired_lease_ends_its_task(model, clock):
+    # Guards against a model whose tasks outlive their lease.
     reserve(model)
     model.start("j/1/1", 1, '{"seconds": 60}')
     clock.now = 9.0
@@ -47,7 +47,7 @@
 
 
 def test_result_is_kept_until_released(model, clock):
-    # Guards against results that a planner can no longer collect.
+    # Guards against a result that is dropped before the planner has read it.
     reserve(model)
     model.start("j/1/1", 1, '{"seconds": 2}')
     clock.now = 100.0
@@ -58,7 +58,7 @@
 
 
 def test_lower_token_is_refused_even_after_a_restart(model):
-    # Guards against an old planner that passes the fence.
+    # Guards against a restart that lets a planner with an old token act again.
     reserve(model, token=7)
     model.restart()
     with pytest.raises(StaleToken) as error:
@@ -67,7 +67,7 @@
 
 
 def test_start_needs_a_reservation_and_happens_once(model):
-    # Guards against a late or repeated start that runs a task again.
+    # Guards against a delayed or repeated start call that runs a task again.
     reserve(model)
     model.start("j/1/1", 1, "")
     with pytest.raises(WorkerRefused):
@@ -79,15 +79,16 @@
 
 
 @pytest.mark.parametrize("accelerators", [(1,), (4,)])
-def test_accelerators_are_not_lent_twice(model, accelerators):
-    # Guards against two gangs on one accelerator, or on one that is not there.
+def test_unavailable_accelerators_are_refused(model, accelerators):
+    # Guards against two gangs on one accelerator, and a lease of one that the worker
+    # doesn't have.
     reserve(model)
     with pytest.raises(WorkerRefused):
         reserve(model, "i/1/1", accelerators=accelerators)
 
 
-def test_resume_goes_on_from_the_checkpoint(model, clock):
-    # Guards against a resume that starts from the beginning.
+def test_resumed_task_continues_from_the_checkpoint(model, clock):
+    # Guards against a resumed task that starts from the beginning.
     reserve(model)
     model.start("j/1/1", 1, '{"seconds": 8}')
     clock.now = 5.0
@@ -101,8 +102,8 @@
     assert model.history[-1].at == 10.0
 
 
-def test_fault_switches(model, clock):
-    # Guards against switches that do nothing.
+def test_faults_affect_checkpoint_and_task(model, clock):
+    # Guards against faults that have no effect.
     model.ignore_checkpoint = model.fail_everything = True
     reserve(model)
     model.start("j/1/1", 1, "")
@@ -112,7 +113,8 @@
 
 
 def test_restart_loses_running_tasks(model):
-    # Guards against a boot id that hides lost leases.
+    # Guards against a restart that keeps the boot id, so that the planner doesn't see
+    # the loss of the leases.
     reserve(model)
     model.start("j/1/1", 1, "")
     boot = model.boot_id
