--- a/libs/planner/src/bilberryhitch_planner/upkeep.py
+++ b/libs/planner/src/bilberryhitch_planner/upkeep.py
@@ -40,13 +40,13 @@
     :param number: identifier of the wave
     :param machines: names of the machines
     :param duration_s: target time for the whole wave
-    :param most_down: number of machines that may be down at a time
+    :param max_down: number of machines that may be down at a time
     """
 
     number: int
     machines: frozenset[str]
     duration_s: float
-    most_down: int
+    max_down: int
 
 
 class Machine(NamedTuple):
@@ -118,7 +118,7 @@
     @property
     def drain_s(self) -> float:
         """How long a machine may drain before it is taken down, in seconds."""
-        rounds = -(-len(self.wave.machines) // max(1, self.wave.most_down))
+        rounds = -(-len(self.wave.machines) // max(1, self.wave.max_down))
         return min(MAX_DRAIN_S, max(0.0, self.wave.duration_s / rounds - DOWNTIME_S))
 
     def apply_outcome(self, machine: str, outcome: UpkeepOutcome, now: float) -> None:
@@ -154,7 +154,7 @@
         :param cost: returns the lost work in core-seconds if a machine is taken down
             now, or None if that is not allowed
         """
-        free = self.wave.most_down - len(self._down(machines, now))
+        free = self.wave.max_down - len(self._down(machines, now))
         for name in [name for name in self.draining if name not in machines]:
             del self.draining[name]
         waiting = self.wave.machines & machines.keys()
--- a/libs/planner/tests/test_upkeep.py
+++ b/libs/planner/tests/test_upkeep.py
@@ -26,8 +26,8 @@
     return 0.0
 
 
-def wave(*machines, most_down=1, duration_s=60.0):
-    return Wave(1, frozenset(machines), duration_s, most_down)
+def wave(*machines, max_down=1, duration_s=60.0):
+    return Wave(1, frozenset(machines), duration_s, max_down)
 
 
 def test_no_more_machines_go_down_than_allowed():
@@ -106,7 +106,7 @@
         self.machines = {name: Machine(name, f"i-{name}", True) for name in names}
         self.taken_down = set()
         self.lost = lost
-        self.most_down = 0
+        self.max_down = 0
         self.fenced = False
 
     async def list_machines(self):
@@ -120,7 +120,7 @@
             self.machines[machine] = self.machines[machine]._replace(up=False)
             asyncio.get_running_loop().call_later(0.5, self._back, machine)
         down = sum(not each.up for each in self.machines.values())
-        self.most_down = max(self.most_down, down)
+        self.max_down = max(self.max_down, down)
         if self.lost:
             self.lost -= 1
             return UpkeepOutcome.UNKNOWN
@@ -188,7 +188,7 @@
         await asyncio.sleep(30)
         running.cancel()
         assert calls.taken_down == set("abc")
-        assert calls.most_down == 1
+        assert calls.max_down == 1
         assert writer.rows["status", "1"] == b"1"
         # The runs on the machines have ended with their workers.
         assert not world.planner.workers
