--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -244,13 +244,13 @@
         worker = self.workers.get(name)
         if worker is None:
             return
-        if worker.born_ms not in (0, reply.born_ms):
+        if worker.started_ms not in (0, reply.started_ms):
             # The worker restarted under the same identifier: its runs are gone.
             for run in list(worker.runs.values()):
                 self._state.release_run(worker, run, EndKind.LAPSED, "", now, unix_s)
             worker.last_end_sequence = 0
             worker.record_failure(now)
-        worker.born_ms = reply.born_ms
+        worker.started_ms = reply.started_ms
         worker.set_clock(reply.clock_s, now)
         if not worker.synced:
             worker.synced = True
--- a/libs/planner/src/bilberryhitch_planner/reports.py
+++ b/libs/planner/src/bilberryhitch_planner/reports.py
@@ -78,13 +78,13 @@
     """A worker's reply to a heartbeat.
 
     :param clock_s: the worker's monotonic clock in seconds
-    :param born_ms: Unix time of the worker's start in ms; 0 if unknown
+    :param started_ms: Unix time of the worker's start in ms; 0 if unknown
     :param running: active runs
     :param ended: ended runs that have not been acknowledged
     """
 
     clock_s: float
-    born_ms: int
+    started_ms: int
     running: tuple[RunningTask, ...]
     ended: tuple[EndedTask, ...]
 
--- a/libs/planner/src/bilberryhitch_planner/workers.py
+++ b/libs/planner/src/bilberryhitch_planner/workers.py
@@ -37,7 +37,7 @@
     :ivar paused_until: time until which it gets no new runs
     :ivar last_end_sequence: sequence number of the last applied ended run
     :ivar speed: estimated speed, 1.0 for an average worker
-    :ivar born_ms: Unix time of its start in ms; 0 if unknown
+    :ivar started_ms: Unix time of its start in ms; 0 if unknown
     :ivar failures: consecutive failed runs
     """
 
@@ -53,7 +53,7 @@
         self.paused_until = 0.0
         self.last_end_sequence = 0
         self.speed = 1.0
-        self.born_ms = 0
+        self.started_ms = 0
         self.failures = 0
         self.failed_at = now
         self._clock_offset = 0.0
