--- a/libs/planner/tests/test_reservations.py
+++ b/libs/planner/tests/test_reservations.py
@@ -19,7 +19,7 @@
 def world_of_workers(count):
     world = PlannerHarness(*(entry(f"w{number}") for number in range(count)))
     for name in world.planner.workers:
-        world.report(name)
+        world.send_heartbeat(name)
     return world
 
 
@@ -27,7 +27,7 @@
     """End one run while the others on its worker progress as estimated."""
     worker = world.planner.workers[order.worker]
     percent = 50.0 * world.now
-    world.report(
+    world.send_heartbeat(
         order.worker,
         [running(each, percent) for each in others if each.worker == order.worker],
         [ended(order, EndKind.DONE, worker.last_end_sequence + 1)],
@@ -104,7 +104,7 @@
     reserved the free capacity, and one within its guarantee waited for it.
     """
     world = PlannerHarness(*(entry(f"w{number}") for number in range(4)), guaranteed=8)
-    world.report_all()
+    world.send_all_heartbeats()
     world.add(request("filler", step(4, gpu=8), route=queue(), account="b"))
     active = world.start_all()
     world.add(request("wide", step(3, gpu=8, gang=True), account="b"))
--- a/libs/planner/tests/test_throttling.py
+++ b/libs/planner/tests/test_throttling.py
@@ -19,7 +19,7 @@
 
     def __init__(self):
         super().__init__(entry("w1"))
-        self.report("w1")
+        self.send_heartbeat("w1")
         serving = step(long_running=True)._replace(latency_target_s=TARGET_S)
         idle_cpu = step(gpu=0, uses_idle_cpu=True)._replace(estimate_s=60.0)
         self.add(request("serving", serving, route=queue("batch", 2)))
@@ -34,7 +34,7 @@
             RunningTask(self.serving.task, self.serving.run, "", 100.0, tail_ms),
             RunningTask(self.idle_cpu.task, self.idle_cpu.run, "", self.now, 500.0),
         ]
-        self.report("w1", tasks[: 2 if idle_cpu else 1])
+        self.send_heartbeat("w1", tasks[: 2 if idle_cpu else 1])
         return [
             order.percent for order in self.plan() if isinstance(order, ThrottleOrder)
         ]
--- a/libs/planner/tests/test_upkeep.py
+++ b/libs/planner/tests/test_upkeep.py
@@ -85,7 +85,7 @@
     of one wave.
     """
     world = PlannerHarness(entry("w1"), entry("w2"), entry("w3"))
-    world.report_all()
+    world.send_all_heartbeats()
     long_running_step = step(3, gpu=8, long_running=True, max_unavailable=1)
     world.add(request("serving", long_running_step, route=queue("batch", 2)))
     world.start_all()
--- a/libs/testing/src/bilberryhitch_testing/planner_harness.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_harness.py
@@ -111,17 +111,17 @@
             job, progress, revision, now=self.now, unix_s=START_UNIX_S + self.now
         )
 
-    def report(
+    def send_heartbeat(
         self,
         worker: str,
         running: Iterable[RunningTask] = (),
         ended: Iterable[EndedTask] = (),
-        born: int = 0,
+        born_ms: int = 0,
     ) -> None:
         """Let a worker list its runs and extend its lease."""
         self.planner.apply_heartbeat(
             worker,
-            HeartbeatReply(self.now, born, tuple(running), tuple(ended)),
+            HeartbeatReply(self.now, born_ms, tuple(running), tuple(ended)),
             sent_at=self.now,
             now=self.now,
             unix_s=START_UNIX_S + self.now,
@@ -130,14 +130,14 @@
         if held is not None:
             held.lease_deadline(self.now + LEASE_S, self.now)
 
-    def report_all(self) -> None:
+    def send_all_heartbeats(self) -> None:
         """Let all workers list what the planner expects there."""
         for name, worker in list(self.planner.workers.items()):
             running = [
                 RunningTask(run.task, run.number, "", self.now)
                 for run in worker.runs.values()
             ]
-            self.report(name, running)
+            self.send_heartbeat(name, running)
 
     def plan(self) -> list[Order]:
         """Return the orders of one round."""
