--- a/libs/planner/src/bilberryhitch_planner/cluster_state.py
+++ b/libs/planner/src/bilberryhitch_planner/cluster_state.py
@@ -98,7 +98,7 @@
             known=run is not None,
         )
         if run is not None:
-            self.release_run(worker, run, ended.how, ended.saved, now, unix_s)
+            self.release_run(worker, run, ended.how, ended.checkpoint, now, unix_s)
             return
         job = self.jobs.get(ended.task.job)
         unit = job.find_unit(ended.task) if job else None
@@ -107,14 +107,16 @@
         unit.last_run = max(unit.last_run, ended.run)
         same_run = all(run.number == ended.run for run in unit.runs.values())
         if same_run or ended.how is EndKind.FAILED:
-            self._apply_unit_end(unit, ended.run, ended.how, ended.saved, now, unix_s)
+            self._apply_unit_end(
+                unit, ended.run, ended.how, ended.checkpoint, now, unix_s
+            )
 
     def release_run(
         self,
         worker: Worker,
         run: Run,
         how: EndKind,
-        saved: str,
+        checkpoint: str,
         now: float,
         unix_s: float,
     ) -> None:
@@ -130,14 +132,16 @@
         if unit.runs.get(run.task.ordinal) is run:
             del unit.runs[run.task.ordinal]
         if not unit.step.job.finished:
-            self._apply_unit_end(unit, run.number, how, saved or run.saved, now, unix_s)
+            self._apply_unit_end(
+                unit, run.number, how, checkpoint or run.checkpoint, now, unix_s
+            )
 
     def _apply_unit_end(
         self,
         unit: Unit,
         number: int,
         how: EndKind,
-        saved: str,
+        checkpoint: str,
         now: float,
         unix_s: float,
     ) -> None:
@@ -151,8 +155,8 @@
         if how is EndKind.DONE and not step.step.long_running:
             self._complete(unit, now, unix_s)
             return
-        if saved and number == unit.last_run:
-            unit.saved = saved
+        if checkpoint and number == unit.last_run:
+            unit.checkpoint = checkpoint
         if how is EndKind.FAILED and not step.step.long_running:
             unit.failed_runs.add(number)
             if unit.attempts_left <= 0:
@@ -192,8 +196,8 @@
             run.advanced_at = now
             if run.state is RunState.RUNNING:
                 update_speed(worker, run, now)
-        if running.saved:
-            run.saved = running.saved
+        if running.checkpoint:
+            run.checkpoint = running.checkpoint
 
     def _adopt(self, worker: Worker, running: RunningTask, now: float) -> Run:
         """Add a run that this planner did not start; stop it if it is not needed."""
--- a/libs/planner/src/bilberryhitch_planner/reports.py
+++ b/libs/planner/src/bilberryhitch_planner/reports.py
@@ -47,14 +47,14 @@
     """An active run on a worker.
 
     :param run: run number
-    :param saved: latest checkpoint; empty if there is none
+    :param checkpoint: latest checkpoint; empty if there is none
     :param percent: work done, or share of the target of a long-running task; 0 to 100
     :param load: CPU use in millicores, or tail latency in ms of a serving task
     """
 
     task: TaskName
     run: int
-    saved: str = ""
+    checkpoint: str = ""
     percent: float = 0.0
     load: float = 0.0
 
@@ -64,14 +64,14 @@
 
     :param sequence: sequence number, increasing within an incarnation
     :param run: run number
-    :param saved: latest checkpoint; empty if there is none
+    :param checkpoint: latest checkpoint; empty if there is none
     """
 
     sequence: int
     task: TaskName
     run: int
     how: EndKind
-    saved: str = ""
+    checkpoint: str = ""
 
 
 class HeartbeatReply(NamedTuple):
@@ -119,7 +119,7 @@
     :param worker: identifier of the worker incarnation
     :param run: run number
     :param spec: task specification as submitted by the caller
-    :param saved: checkpoint to resume from; empty if there is none
+    :param checkpoint: checkpoint to resume from; empty if there is none
     :param ticket: permission of the advice service; empty if none is needed
     """
 
@@ -127,7 +127,7 @@
     task: TaskName
     run: int
     spec: str
-    saved: str
+    checkpoint: str
     ticket: str = ""
 
 
--- a/libs/planner/src/bilberryhitch_planner/reservations.py
+++ b/libs/planner/src/bilberryhitch_planner/reservations.py
@@ -157,7 +157,7 @@
     """Return the monotonic time at which a run is expected to end."""
     if run.state is RunState.STOPPING:
         return now + STOP_DURATION_S
-    if run.percent >= MIN_PROGRESS_PERCENT and not (run.unit and run.unit.saved):
+    if run.percent >= MIN_PROGRESS_PERCENT and not (run.unit and run.unit.checkpoint):
         length = (run.advanced_at - run.ordered_at) * 100.0 / run.percent
     else:
         length = run.unit.step.step.estimate_s if run.unit else 0.0
--- a/libs/planner/src/bilberryhitch_planner/runs.py
+++ b/libs/planner/src/bilberryhitch_planner/runs.py
@@ -27,7 +27,7 @@
     :ivar number: run number
     :ivar worker: identifier of the worker incarnation
     :ivar unit: unit that it belongs to; None for a run that is not needed
-    :ivar saved: latest checkpoint; empty if there is none
+    :ivar checkpoint: latest checkpoint; empty if there is none
     :ivar rate: progress in percent per second, updated by heartbeats
     :ivar load: CPU use in millicores, or tail latency in ms of a serving task
     :ivar cpu_percent: allowed share of its CPU time, as last ordered
@@ -51,7 +51,7 @@
         "throttled_at",
         "percent",
         "rate",
-        "saved",
+        "checkpoint",
         "settled_at",
         "state",
         "task",
@@ -74,7 +74,7 @@
         self.worker = worker
         self.unit = unit
         self.state = RunState.ORDERED
-        self.saved = ""
+        self.checkpoint = ""
         self.percent = 0.0
         self.rate = 0.0
         self.load = 0.0
--- a/libs/planner/src/bilberryhitch_planner/scheduling_round.py
+++ b/libs/planner/src/bilberryhitch_planner/scheduling_round.py
@@ -152,7 +152,7 @@
                     run.task,
                     run.number,
                     job.request.spec,
-                    unit.saved,
+                    unit.checkpoint,
                     permissions.ticket(name) if permissions else "",
                 )
             )
@@ -166,7 +166,7 @@
             run=unit.last_run,
             workers=[worker.entry.worker for worker in members.values()],
             waited_s=round(now - unit.waiting_since, 3),
-            saved=unit.saved,
+            saved=unit.checkpoint,
         )
 
     def _preempt(self, unit: Unit, workers: list[Worker]) -> bool:
--- a/libs/planner/src/bilberryhitch_planner/speeds.py
+++ b/libs/planner/src/bilberryhitch_planner/speeds.py
@@ -32,7 +32,7 @@
     """
     unit = run.unit
     elapsed_s = now - run.ordered_at
-    if unit is None or unit.saved or elapsed_s < MIN_ELAPSED_S:
+    if unit is None or unit.checkpoint or elapsed_s < MIN_ELAPSED_S:
         # The progress of a resumed run was partly made by another worker.
         return
     if run.percent >= COMPLETE_PERCENT:
--- a/libs/planner/src/bilberryhitch_planner/units.py
+++ b/libs/planner/src/bilberryhitch_planner/units.py
@@ -28,7 +28,7 @@
     :ivar index: index of the task in its step, or ``GANG_INDEX``
     :ivar last_run: number of the latest run; 0 before the first
     :ivar failed_runs: numbers of the failed runs
-    :ivar saved: latest checkpoint; empty if there is none
+    :ivar checkpoint: latest checkpoint; empty if there is none
     :ivar runs: runs that may exist, by index of the task
     :ivar across_racks: capacity is being freed across racks, since no single rack
         can be cleared for it
@@ -47,7 +47,7 @@
         "last_run",
         "runs",
         "retry_at",
-        "saved",
+        "checkpoint",
         "step",
         "waiting_since",
     )
@@ -60,7 +60,7 @@
         self.done = progress.done
         self.last_run = progress.last_run
         self.failed_runs = set(progress.failed_runs)
-        self.saved = progress.checkpoint
+        self.checkpoint = progress.checkpoint
         self.runs: dict[int, Run] = {}
         self.across_racks = False
         self.adopted = False
@@ -89,7 +89,7 @@
     def progress(self) -> UnitProgress:
         """Progress of the unit to be stored."""
         return UnitProgress(
-            self.done, self.last_run, tuple(sorted(self.failed_runs)), self.saved
+            self.done, self.last_run, tuple(sorted(self.failed_runs)), self.checkpoint
         )
 
 
--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -353,7 +353,7 @@
     world.send_all_heartbeats()
     (again,) = world.plan_starts()
     assert again.worker != order.worker
-    assert again.saved == "7"
+    assert again.checkpoint == "7"
 
 
 def test_an_urgent_gang_with_a_stalled_member_restarts_within_its_slack():
--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -319,7 +319,7 @@
             model = self.fleet.workers[order.worker]
             if isinstance(order, StartOrder):
                 outcome = model.start(
-                    order.task, order.run, saved=order.saved, token=1,
+                    order.task, order.run, saved=order.checkpoint, token=1,
                     lease_until_s=now + LEASE_S, now=now,
                 )  # fmt: skip
                 self.planner.apply_start_outcome(
--- a/tests/machines/world_point5_planner.py
+++ b/tests/machines/world_point5_planner.py
@@ -192,7 +192,7 @@
             outcome = model.start(
                 order.task,
                 order.run,
-                saved=order.saved,
+                saved=order.checkpoint,
                 token=holder.token,
                 lease_until_s=lease,
                 now=self.now,
