--- a/libs/planner/src/bilberryhitch_planner/advice.py
+++ b/libs/planner/src/bilberryhitch_planner/advice.py
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self._tickets: dict[str, tuple[str, float]] = {}
         self._refused: set[str] = set()
-        self._ask_after = 0.0
+        self._next_request_at = 0.0
 
     def ticket(self, worker: str) -> str:
         """Return the ticket of a worker; empty if there is none."""
@@ -46,39 +46,39 @@
 
         :returns: None if all workers are known or a reply is still expected
         """
-        if now < self._ask_after:
+        if now < self._next_request_at:
             return None
-        unknown = [
+        candidates = [
             worker
             for worker in workers
             if worker.entry.worker not in self._refused
             and not self.is_granted(worker.entry.worker, now)
             and task_slots(worker, step.step) > 0
         ]
-        if not unknown:
+        if not candidates:
             return None
         # Gangs that must run in one rack need permissions for whole racks.
-        unknown.sort(key=lambda worker: (worker.entry.rack, worker.entry.worker))
+        candidates.sort(key=lambda worker: (worker.entry.rack, worker.entry.worker))
         names = tuple(
-            worker.entry.worker for worker in unknown[:MAX_WORKERS_PER_REQUEST]
+            worker.entry.worker for worker in candidates[:MAX_WORKERS_PER_REQUEST]
         )
-        terms = step.job.queue.advice
+        policy = step.job.queue.advice
         due_s = ADVICE_MARGIN_S
-        if terms is not None:
-            due_s += terms.base_latency_s + terms.latency_per_worker_s * len(names)
-        self._ask_after = now + due_s
+        if policy is not None:
+            due_s += policy.base_latency_s + policy.latency_per_worker_s * len(names)
+        self._next_request_at = now + due_s
         return AdviceRequest(step.job.request.job, step.occurrence, step.index, names)
 
     def apply_reply(
-        self, asked: Sequence[str], granted: dict[str, str], valid_until: float
+        self, requested: Sequence[str], granted: dict[str, str], valid_until: float
     ) -> None:
         """Apply a reply; requested workers that are not granted are refused for good.
 
         :param granted: ticket by worker
         :param valid_until: monotonic time at which the tickets expire
         """
-        self._ask_after = 0.0
-        for name in asked:
+        self._next_request_at = 0.0
+        for name in requested:
             if name not in granted:
                 self._refused.add(name)
         for name, ticket in granted.items():
--- a/libs/planner/src/bilberryhitch_planner/preemption.py
+++ b/libs/planner/src/bilberryhitch_planner/preemption.py
@@ -138,7 +138,7 @@
     stopped: dict[int, Unit] = {}
     used: list[str] = []
     cost = 0.0
-    found = 0
+    freed_slots = 0
     plans = sorted(
         (
             plan
@@ -148,12 +148,12 @@
         key=lambda plan: plan.cost / plan.slots,
     )
     for plan in plans:
-        fresh = [unit for unit in plan.units if id(unit) not in stopped]
-        cost += sum(lost_core_seconds(unit, now) for unit in fresh)
-        stopped.update((id(unit), unit) for unit in fresh)
+        new_units = [unit for unit in plan.units if id(unit) not in stopped]
+        cost += sum(lost_core_seconds(unit, now) for unit in new_units)
+        stopped.update((id(unit), unit) for unit in new_units)
         used.append(plan.worker)
-        found += plan.slots
-        if found >= missing:
+        freed_slots += plan.slots
+        if freed_slots >= missing:
             return PreemptionPlan(tuple(stopped.values()), tuple(used), cost)
     return None
 
--- a/libs/planner/src/bilberryhitch_planner/reservations.py
+++ b/libs/planner/src/bilberryhitch_planner/reservations.py
@@ -24,7 +24,7 @@
 MAX_GANGS_PER_ROUND = 14
 # Below this progress the rate is too uncertain; the run time estimate is used.
 MIN_PROGRESS_PERCENT = 5.0
-# Upper bound on the time that a stop takes.
+# A stop takes less than this, regardless of the remaining work.
 STOP_DURATION_S = 0.5
 
 
--- a/libs/planner/src/bilberryhitch_planner/scheduling_round.py
+++ b/libs/planner/src/bilberryhitch_planner/scheduling_round.py
@@ -104,7 +104,7 @@
         :returns: the worker of each task, by task index; None if the unit must wait
         """
         job, now = unit.step.job, self._now
-        spared = self._headroom.get(job.queue.service, frozenset())
+        set_aside = self._headroom.get(job.queue.service, frozenset())
         # A unit within its guarantee may use workers reserved for other gangs.
         guaranteed = job.queue.priority == 0 and self._guarantees.covers(unit)
         allowed = [
@@ -112,12 +112,12 @@
             for worker in workers
             if self._state.preemptions.allows(worker, unit)
             and (guaranteed or self.reserved.allows(worker, unit))
-            and (job.queue.priority == 0 or worker.entry.worker not in spared)
+            and (job.queue.priority == 0 or worker.entry.worker not in set_aside)
         ]
-        sound = [worker for worker in allowed if not worker.suspect(now)]
-        members = _choose(unit, sound, workers, any_rack)
+        healthy = [worker for worker in allowed if not worker.suspect(now)]
+        members = _choose(unit, healthy, workers, any_rack)
         last_attempt = unit.attempts_left <= 1 and unit.failed_runs
-        if members is None and len(sound) < len(allowed):
+        if members is None and len(healthy) < len(allowed):
             if last_attempt and now - unit.waiting_since < SUSPECT_WAIT_S:
                 return None
             members = _choose(unit, allowed, workers, any_rack)
--- a/libs/planner/src/bilberryhitch_planner/throttling.py
+++ b/libs/planner/src/bilberryhitch_planner/throttling.py
@@ -20,7 +20,7 @@
 REPEAT_INTERVAL_S = 3.0
 
 
-def shares_processor(worker: Worker) -> bool:
+def shares_cpu(worker: Worker) -> bool:
     """Return whether a worker runs both serving and idle-CPU tasks."""
     kinds = {_workload_kind(run) for run in worker.runs.values()}
     return {"serving", "idle_cpu"} <= kinds
--- a/libs/planner/src/bilberryhitch_planner/upkeep.py
+++ b/libs/planner/src/bilberryhitch_planner/upkeep.py
@@ -159,20 +159,20 @@
             del self.draining[name]
         waiting = self.wave.machines & machines.keys()
         waiting -= self.ordered.keys() | self._begun.keys() | self._excluded
-        priced = [
-            (price, name)
+        candidates = [
+            (lost_work, name)
             for name in waiting
-            if machines[name].up and (price := cost(machines[name])) is not None
+            if machines[name].up and (lost_work := cost(machines[name])) is not None
         ]
         # Draining machines come first, so that their drain time is not wasted.
-        priced.sort(key=lambda each: (each[1] not in self.draining, each))
-        chosen = priced[: max(0, free)]
+        candidates.sort(key=lambda each: (each[1] not in self.draining, each))
+        chosen = candidates[: max(0, free)]
         for _, name in chosen:
             self.draining.setdefault(name, now)
         return [
             name
-            for price, name in chosen
-            if not price or now - self.draining[name] >= self.drain_s
+            for lost_work, name in chosen
+            if not lost_work or now - self.draining[name] >= self.drain_s
         ]
 
     def _down(self, machines: Mapping[str, Machine], now: float) -> set[str]:
--- a/libs/planner/src/bilberryhitch_planner/worker_session.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_session.py
@@ -21,7 +21,7 @@
 )
 from .runs import RunState
 from .state_writer import StateWriter
-from .throttling import shares_processor
+from .throttling import shares_cpu
 from .worker_calls import WorkerCalls
 
 # Lease of the runs on a worker. It is the longest that the platform grants, so that
@@ -35,7 +35,8 @@
 # must not exceed its target for seconds because of them.
 SHARED_HEARTBEAT_WAIT_S = 0.4
 RETRY_PAUSE_S = 0.2
-# Ended runs are acknowledged only once they are stored; heartbeats go on meanwhile.
+# How long to wait for ended runs to be stored, as only stored ones are acknowledged.
+# After that time heartbeats go on without the acknowledgement.
 FLUSH_TIMEOUT_S = 0.4
 # Attempts of a start order without a response; after the last one the run is stopped.
 MAX_START_ATTEMPTS = 3
@@ -109,7 +110,7 @@
             )
             self._on_change()
             worker = self._planner.workers.get(self._name)
-            shared = worker is not None and shares_processor(worker)
+            shared = worker is not None and shares_cpu(worker)
             wait_s = SHARED_HEARTBEAT_WAIT_S if shared else HEARTBEAT_WAIT_S
             if reply.ended and not await self._acknowledge(reply):
                 wait_s = 0.0
