--- a/libs/planner/src/bilberryhitch_planner/leading_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/leading_planner.py
@@ -202,7 +202,7 @@
             for name in silent:
                 if name not in present:
                     now = time.monotonic()
-                    self.planner.worker_gone(name, now=now, unix_s=time.time())
+                    self.planner.remove_ended_worker(name, now=now, unix_s=time.time())
                     self._changed()
 
     def _silent_workers(self, now: float) -> list[str]:
--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -213,7 +213,7 @@
         if not worker.runs and worker.synced:
             del self.workers[name]
 
-    def worker_gone(self, name: str, *, now: float, unix_s: float) -> None:
+    def remove_ended_worker(self, name: str, *, now: float, unix_s: float) -> None:
         """Release all runs of an incarnation that has certainly ended."""
         worker = self.workers.pop(name, None)
         if worker is None:
--- a/libs/planner/src/bilberryhitch_planner/upkeep.py
+++ b/libs/planner/src/bilberryhitch_planner/upkeep.py
@@ -303,7 +303,7 @@
         if outcome is UpkeepOutcome.BUSY:
             self._state_writer.put(wave_state.record_write)
         if outcome is UpkeepOutcome.BEGUN and ended:
-            self._planner.worker_gone(ended, now=now, unix_s=time.time())
+            self._planner.remove_ended_worker(ended, now=now, unix_s=time.time())
             self._on_change()
 
     async def _read_records(self) -> dict[int, list[str]]:
--- a/libs/planner/src/bilberryhitch_planner/worker_session.py
+++ b/libs/planner/src/bilberryhitch_planner/worker_session.py
@@ -88,7 +88,7 @@
             try:
                 reply = await self._send_heartbeat(sent_at, wait_s)
             except WorkerGone:
-                self._planner.worker_gone(
+                self._planner.remove_ended_worker(
                     self._name, now=time.monotonic(), unix_s=time.time()
                 )
                 self._on_change()
@@ -180,7 +180,7 @@
             certain = False
         now = time.monotonic()
         if outcome is StartOutcome.GONE:
-            self._planner.worker_gone(self._name, now=now, unix_s=time.time())
+            self._planner.remove_ended_worker(self._name, now=now, unix_s=time.time())
             return
         self._planner.apply_start_outcome(
             order, outcome, certain=certain, now=now, unix_s=time.time()
@@ -196,7 +196,9 @@
             if outcome is StopOutcome.FENCED:
                 raise WorkerFenced(self._name)
             if outcome is StopOutcome.GONE:
-                self._planner.worker_gone(self._name, now=now, unix_s=time.time())
+                self._planner.remove_ended_worker(
+                    self._name, now=now, unix_s=time.time()
+                )
                 return
             if outcome is StopOutcome.STOPPED:
                 self._planner.apply_stop_outcome(order, outcome, now=now)
--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -386,7 +386,7 @@
     flapping = entry("w1", address="ip:9")
     world = PlannerHarness(flapping, entry("w2"))
     world.send_all_heartbeats()
-    world.planner.worker_gone("w1", now=0.0, unix_s=START_UNIX_S)
+    world.planner.remove_ended_worker("w1", now=0.0, unix_s=START_UNIX_S)
     world.now = 1.0
     world.planner.add_worker(flapping._replace(worker="w1b"), now=world.now)
     world.send_heartbeat("w1b")
@@ -530,7 +530,7 @@
     world.send_heartbeat("w1")
     world.add(request("j", step()))
     assert world.plan_starts() == []
-    world.planner.worker_gone("w2", now=0.0, unix_s=START_UNIX_S)
+    world.planner.remove_ended_worker("w2", now=0.0, unix_s=START_UNIX_S)
     assert len(world.plan_starts()) == 1
 
 
--- a/tests/machines/world_point5_planner.py
+++ b/tests/machines/world_point5_planner.py
@@ -101,7 +101,7 @@
         self.fleet.workers[name].crash()
         for holder in (self.leader, self.former):
             if holder is not None:
-                holder.planner.worker_gone(
+                holder.planner.remove_ended_worker(
                     name, now=self.now, unix_s=START_UNIX_S + self.now
                 )
 
