--- a/libs/jobs/src/bilberryhitch_jobs/__init__.py
+++ b/libs/jobs/src/bilberryhitch_jobs/__init__.py
@@ -1,6 +1,5 @@
 """Jobs as graphs of steps: records, their storage, submission and cancellation."""
 
-from .acceptance import JobOperations, OperationResult
 from .configuration import (
     Account,
     AdvicePolicy,
@@ -10,6 +9,7 @@
     Service,
 )
 from .job_api import AdmittedCall, JobApi, JobReply, JobSubmission, ReplyKind
+from .job_operations import JobOperations, OperationResult
 from .progress import (
     GANG_INDEX,
     JobProgress,
--- a/libs/jobs/src/bilberryhitch_jobs/job_api.py
+++ b/libs/jobs/src/bilberryhitch_jobs/job_api.py
@@ -7,8 +7,8 @@
 
 from bilberryhitch_telemetry import events, log
 
-from .acceptance import JobOperations, OperationResult
 from .configuration import Configuration, Queue
+from .job_operations import JobOperations, OperationResult
 from .records import JobRequest, JobState, Schedule, Step
 
 # The store counts as unreachable after this time without a response: the watch of the
--- a/libs/jobs/tests/test_job_api.py
+++ b/libs/jobs/tests/test_job_api.py
@@ -24,8 +24,8 @@
     decode_request,
     encode_progress,
 )
-from bilberryhitch_jobs.acceptance import OperationResult
 from bilberryhitch_jobs.errors import CommitConflict, StoreRefused, StoreUnknown
+from bilberryhitch_jobs.job_operations import OperationResult
 from bilberryhitch_jobs.rows import StoreRow
 from bilberryhitch_testing import run_virtual
 
--- a/libs/planner/src/bilberryhitch_planner/leading_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/leading_planner.py
@@ -17,8 +17,8 @@
     StoreRow,
     decode_request,
 )
-from bilberryhitch_jobs.acceptance import CANCEL_SUFFIX, JOB_PARTITIONS, JOBS_TABLE
 from bilberryhitch_jobs.errors import STORE_ERRORS, RowUnreadable
+from bilberryhitch_jobs.job_operations import CANCEL_SUFFIX, JOB_PARTITIONS, JOBS_TABLE
 from bilberryhitch_jobs.table_watcher import TableWatcher
 from bilberryhitch_telemetry import events, log
 
--- a/libs/planner/src/bilberryhitch_planner/state_writer.py
+++ b/libs/planner/src/bilberryhitch_planner/state_writer.py
@@ -19,14 +19,6 @@
     decode_progress,
     encode_progress,
 )
-from bilberryhitch_jobs.acceptance import (
-    CANCEL_SUFFIX,
-    JOBS_TABLE,
-    PROGRESS_TABLE,
-    SUMMARY_TABLE,
-    WAITING_KEY,
-    job_partition,
-)
 from bilberryhitch_jobs.errors import (
     STORE_ERRORS,
     CommitConflict,
@@ -34,6 +26,14 @@
     StoreRefused,
     StoreUnknown,
 )
+from bilberryhitch_jobs.job_operations import (
+    CANCEL_SUFFIX,
+    JOBS_TABLE,
+    PROGRESS_TABLE,
+    SUMMARY_TABLE,
+    WAITING_KEY,
+    job_partition,
+)
 from bilberryhitch_telemetry import events, log
 
 from .errors import Deposed
