--- a/libs/scheduling/src/bilberryhitch_scheduling/allocator.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/allocator.py
@@ -8,16 +8,16 @@
 
 from .adopted_jobs import AdoptedJobs, assign_bound_cell
 from .cell_search import find_free_members, neighbour_score, search_cells, victims
-from .clearing import (
+from .fleet import Fleet
+from .gang_reservations import GangReservation, GangReservations
+from .guaranteed_cells import BoundCell, GuaranteedCells, GuaranteeKey
+from .jobs import Job
+from .preemption import (
     eviction_cost,
     place_with_evictions,
     preempting_placements,
     spare_placements,
 )
-from .fleet import Fleet
-from .gang_reservations import GangReservation, GangReservations
-from .guaranteed_cells import BoundCell, GuaranteedCells, GuaranteeKey
-from .jobs import Job
 from .run_time_estimates import RunTimeEstimates
 
 
--- a/tests/machines/test_point1_reclaim.py
+++ b/tests/machines/test_point1_reclaim.py
@@ -11,7 +11,7 @@
     Shape,
     Start,
 )
-from bilberryhitch_scheduling import PoolScheduler, allocator, clearing
+from bilberryhitch_scheduling import PoolScheduler, allocator, preemption
 from bilberryhitch_scheduling.adopted_jobs import AdoptedJobs
 from bilberryhitch_scheduling.allocator import Allocator
 from bilberryhitch_scheduling.fleet import Fleet
@@ -411,10 +411,10 @@
 
 
 def preempt_anything(fleet, shape, now):
-    left = clearing.count_obtainable(fleet, lambda owner: owner.stage != "clearing")
+    left = preemption.count_obtainable(fleet, lambda owner: owner.stage != "clearing")
     for kind in fleet.tree.candidate_kinds(shape):
         for cell in fleet.tree.by_kind[kind]:
-            members = clearing.place_in_cell(fleet, left, cell, shape)
+            members = preemption.place_in_cell(fleet, left, cell, shape)
             if members is not None:
                 yield members
 
