--- a/libs/scheduling/src/bilberryhitch_scheduling/adopted_jobs.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/adopted_jobs.py
@@ -2,9 +2,9 @@
 
 from bilberryhitch_model import Member
 
-from .fleet import Fleet
 from .guaranteed_cells import BoundCell, GuaranteedCells, GuaranteeKey
 from .jobs import Job
+from .pool_state import PoolState
 
 
 class AdoptedJobs:
@@ -14,8 +14,8 @@
     looks unused before may hold another account's job.
     """
 
-    def __init__(self, fleet: Fleet, guarantees: GuaranteedCells) -> None:
-        self._fleet = fleet
+    def __init__(self, pool_state: PoolState, guarantees: GuaranteedCells) -> None:
+        self._pool_state = pool_state
         self._guarantees = guarantees
         self._pending: dict[str, tuple[Job, int | None]] = {}
 
@@ -57,7 +57,7 @@
 
     def _cells_around(self, job: Job, key: GuaranteeKey) -> list[int]:
         """Return the cells that can hold the guarantee and contain the job."""
-        tree = self._fleet.tree
+        tree = self._pool_state.tree
         taken = self._accelerators(job.members)
         kinds = self._guarantees.cell_kinds(key)
         cell = tree.leaves[min(taken)]
@@ -100,15 +100,17 @@
         All of them must belong to the account, lie inside the cell and be in no
         other bound cell.
         """
-        row = self._fleet.tree.cells[cell]
+        row = self._pool_state.tree.cells[cell]
         inside = range(row.start, row.start + row.size)
         jobs: dict[str, Job] = {}
         for accelerator in inside:
-            job = self._fleet.jobs.get(self._fleet.owner[accelerator] or "")
+            job = self._pool_state.jobs.get(self._pool_state.owner[accelerator] or "")
             if job is not None and job.protected:
                 jobs[job.job_id] = job
-            elif self._fleet.reclaimable.is_taken(accelerator) and self._fleet.usable(
-                self._fleet.tree.host_of_accelerator[accelerator]
+            elif self._pool_state.reclaimable.is_taken(
+                accelerator
+            ) and self._pool_state.usable(
+                self._pool_state.tree.host_of_accelerator[accelerator]
             ):
                 return None
         for job in jobs.values():
@@ -119,7 +121,7 @@
         return list(jobs.values())
 
     def _accelerators(self, members: tuple[Member, ...]) -> list[int]:
-        return [a for member in members for a in self._fleet.accelerators(member)]
+        return [a for member in members for a in self._pool_state.accelerators(member)]
 
 
 def assign_bound_cell(job: Job, bound: BoundCell) -> None:
--- a/libs/scheduling/src/bilberryhitch_scheduling/allocator.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/allocator.py
@@ -8,10 +8,10 @@
 
 from .adopted_jobs import AdoptedJobs, assign_bound_cell
 from .cell_search import find_free_members, neighbour_score, search_cells, victims
-from .fleet import Fleet
 from .gang_reservations import GangReservation, GangReservations
 from .guaranteed_cells import BoundCell, GuaranteedCells, GuaranteeKey
 from .jobs import Job
+from .pool_state import PoolState
 from .preemption import (
     eviction_cost,
     place_with_evictions,
@@ -34,18 +34,18 @@
 
     def __init__(
         self,
-        fleet: Fleet,
+        pool_state: PoolState,
         guarantees: GuaranteedCells,
         estimates: RunTimeEstimates,
         displace: Callable[[Job], None],
     ) -> None:
-        self.fleet = fleet
+        self.pool_state = pool_state
         self.guarantees = guarantees
-        self.reservations = GangReservations(fleet)
+        self.reservations = GangReservations(pool_state)
         self.borrowing = True
         self._requeue_displaced = displace
         self._estimates = estimates
-        self._unbound_adopted = AdoptedJobs(fleet, guarantees)
+        self._unbound_adopted = AdoptedJobs(pool_state, guarantees)
         self._failed_searches: set[tuple[str, Shape]] = set()
 
     def clear_failed_searches(self) -> None:
@@ -75,7 +75,7 @@
         """Record a running job; :meth:`bind_adopted` binds its guaranteed cell."""
         self._estimate(job)
         job.protected = not borrowed
-        hosts = self.fleet.hosts
+        hosts = self.pool_state.hosts
         members = [member for member in placement.members if member.host in hosts]
         self._assign(job, members, None)
         if job.protected:
@@ -101,7 +101,7 @@
         """Return whether a job fits into one cell of a guarantee."""
         if job.shape.tasks * max(1, job.shape.accelerators) > key.accelerators:
             return False  # a cell may have more accelerators than the guarantee
-        capacity = self.fleet.tree.capacity(job.shape)
+        capacity = self.pool_state.tree.capacity(job.shape)
         kinds = self.guarantees.cell_kinds(key)
         return any(capacity[kind] >= job.shape.tasks for kind in kinds)
 
@@ -110,7 +110,7 @@
         cell = job.bound_cell
         job.bound_cell = None
         self._unbound_adopted.discard(job)
-        self.fleet.release(job)
+        self.pool_state.release(job)
         if cell is not None:
             del cell.jobs[job.job_id]
             if not cell.jobs:
@@ -126,20 +126,23 @@
         self, job: Job, members: list[Member], bound: BoundCell | None
     ) -> dict[str, None]:
         self._displace_waiting(members)
-        found = victims(self.fleet, members, job.shape)
+        found = victims(self.pool_state, members, job.shape)
         job.guaranteed = False
         if bound is not None:
             assign_bound_cell(job, bound)
-        self.fleet.allocate(job, members)
+        self.pool_state.allocate(job, members)
         return found
 
     def _displace_waiting(self, members: list[Member]) -> None:
         """Requeue the jobs that wait for evictions on accelerators of the members."""
-        fleet = self.fleet
+        pool_state = self.pool_state
         for member in members:
-            for accelerator in fleet.accelerators(member):
-                for job_id in (fleet.owner[accelerator], fleet.claim[accelerator]):
-                    job = fleet.jobs.get(job_id or "")
+            for accelerator in pool_state.accelerators(member):
+                for job_id in (
+                    pool_state.owner[accelerator],
+                    pool_state.claim[accelerator],
+                ):
+                    job = pool_state.jobs.get(job_id or "")
                     if job is not None and job.stage == "clearing":
                         self._requeue_displaced(job)
 
@@ -153,7 +156,7 @@
                 continue
             job.protected = True
             for bound in self.guarantees.usable_cells(key):
-                members = place_with_evictions(self.fleet, bound.cell, job.shape)
+                members = place_with_evictions(self.pool_state, bound.cell, job.shape)
                 if members is not None and self._within(bound, members):
                     return self._assign(job, members, bound)
             found = self._bind_new_cell(job, key, now)
@@ -176,12 +179,12 @@
         before = self.guarantees.shortage()
         cells: list[int] = []
         for cell in self._empty_cells(job, key):
-            if not self.fleet.free.taken[cell]:
+            if not self.pool_state.free.taken[cell]:
                 found = self._try_bind(job, key, cell, before)
                 if found is not None:
                     return found
             cells.append(cell)
-        for cell in sorted(cells, key=partial(eviction_cost, self.fleet, now=now)):
+        for cell in sorted(cells, key=partial(eviction_cost, self.pool_state, now=now)):
             found = self._try_bind(job, key, cell, before)
             if found is not None:
                 return found
@@ -189,7 +192,7 @@
 
     def _empty_cells(self, job: Job, key: GuaranteeKey) -> Iterator[int]:
         """Yield cells for a guarantee, least fragmentation of larger cells first."""
-        tree, reclaimable = self.fleet.tree, self.fleet.reclaimable
+        tree, reclaimable = self.pool_state.tree, self.pool_state.reclaimable
         capacity = tree.capacity(job.shape)
         shape = tree.guarantee_shape(key.accelerators)
         for group in search_cells(tree, reclaimable, shape):
@@ -202,7 +205,7 @@
         self, job: Job, key: GuaranteeKey, cell: int, before: tuple[int, ...]
     ) -> dict[str, None] | None:
         bound = self.guarantees.bind(key, cell)
-        members = place_with_evictions(self.fleet, cell, job.shape)
+        members = place_with_evictions(self.pool_state, cell, job.shape)
         if (
             members is not None
             and self._within(bound, members)
@@ -226,7 +229,7 @@
 
     def _accelerators_used_in(self, bound: BoundCell) -> int:
         return sum(
-            self.fleet.jobs[job_id].allocated_accelerators for job_id in bound.jobs
+            self.pool_state.jobs[job_id].allocated_accelerators for job_id in bound.jobs
         )
 
     def _shortage_not_grown(self, before: tuple[int, ...]) -> bool:
@@ -239,16 +242,16 @@
         """Allocate capacity that no guarantee can need; the job becomes protected."""
         job.protected = True
         if job.shape.accelerators == 0:
-            members = self.fleet.cpu_members(job.shape, protected=True)
+            members = self.pool_state.cpu_members(job.shape, protected=True)
             if members is not None:
                 return self._assign(job, members, None)
         memo = ("", job.shape)
         if memo in self._failed_searches and not may_preempt:
             return None
-        placements = spare_placements(self.fleet, job.shape)
+        placements = spare_placements(self.pool_state, job.shape)
         if may_preempt:
             placements = chain(
-                placements, preempting_placements(self.fleet, job.shape, now)
+                placements, preempting_placements(self.pool_state, job.shape, now)
             )
         for members in placements:
             if self.keeps_guarantees(members):
@@ -259,10 +262,10 @@
     def keeps_guarantees(self, members: list[Member]) -> bool:
         """Return whether all guarantees still fit if the members become protected."""
         before = self.guarantees.shortage()
-        taken = [a for member in members for a in self.fleet.accelerators(member)]
-        self.fleet.reclaimable.mark(taken)
+        taken = [a for member in members for a in self.pool_state.accelerators(member)]
+        self.pool_state.reclaimable.mark(taken)
         holds = self._shortage_not_grown(before)
-        self.fleet.reclaimable.unmark(taken)
+        self.pool_state.reclaimable.unmark(taken)
         return holds
 
     def _allocate_borrowed(
@@ -270,18 +273,20 @@
     ) -> dict[str, None] | None:
         job.protected = False
         if job.shape.accelerators == 0:
-            members = self.fleet.cpu_members(job.shape, protected=False)
+            members = self.pool_state.cpu_members(job.shape, protected=False)
         else:
             members = self._free_members(job, now)
             if members is None and may_preempt:
-                members = next(preempting_placements(self.fleet, job.shape, now), None)
+                members = next(
+                    preempting_placements(self.pool_state, job.shape, now), None
+                )
         if members is None:
             return None
         return self._assign(job, members, None)
 
     def _free_members(self, job: Job, now: float) -> list[Member] | None:
-        score = neighbour_score(self.fleet, now + job.expected_s)
-        find = partial(find_free_members, self.fleet, job.shape, score)
+        score = neighbour_score(self.pool_state, now + job.expected_s)
+        find = partial(find_free_members, self.pool_state, job.shape, score)
         memo = ("*", job.shape)
         if memo not in self._failed_searches:
             members = find()
--- a/libs/scheduling/src/bilberryhitch_scheduling/cell_search.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/cell_search.py
@@ -12,7 +12,7 @@
 
 from .cell_index import CellIndex
 from .cells import CellTree
-from .fleet import Fleet
+from .pool_state import PoolState
 
 MAX_EQUAL_CELLS = 16  # cells of one group that are compared by score
 
@@ -42,57 +42,59 @@
 
 
 def place_in_cell(
-    fleet: Fleet, available: AvailableCount, cell: int, shape: Shape
+    pool_state: PoolState, available: AvailableCount, cell: int, shape: Shape
 ) -> list[Member] | None:
     """Choose accelerators for all tasks inside a cell.
 
     :param available: how many accelerators of a cell may be allocated
     :returns: one member per worker, or ``None`` if not all tasks fit
     """
-    if _tasks_in(fleet, available, cell, shape) < shape.tasks:
+    if _tasks_in(pool_state, available, cell, shape) < shape.tasks:
         return None
     members: list[Member] = []
-    _fill_cell(fleet, available, cell, shape, members)
+    _fill_cell(pool_state, available, cell, shape, members)
     return members
 
 
 def find_free_members(
-    fleet: Fleet, shape: Shape, score: Callable[[int], float]
+    pool_state: PoolState, shape: Shape, score: Callable[[int], float]
 ) -> list[Member] | None:
     """Place a gang on free accelerators.
 
     :param score: orders the cells of a group; lower is better
     :returns: one member per worker, or ``None`` if the gang does not fit
     """
-    for group in search_cells(fleet.tree, fleet.free, shape):
+    for group in search_cells(pool_state.tree, pool_state.free, shape):
         for cell in sorted(group, key=score):
-            members = place_in_cell(fleet, fleet.free.available, cell, shape)
+            members = place_in_cell(pool_state, pool_state.free.available, cell, shape)
             if members is not None:
                 return members
     return None
 
 
-def victims(fleet: Fleet, members: list[Member], shape: Shape) -> dict[str, None]:
+def victims(
+    pool_state: PoolState, members: list[Member], shape: Shape
+) -> dict[str, None]:
     """Return the ids of the jobs to evict before the members can start.
 
     They are the keys of a dictionary, in order.
     """
     found: dict[str, None] = {}
     for member in members:
-        for accelerator in fleet.accelerators(member):
-            owner = fleet.owner[accelerator]
+        for accelerator in pool_state.accelerators(member):
+            owner = pool_state.owner[accelerator]
             if owner is not None:
                 found[owner] = None
-        _add_cpu_victims(fleet, member, shape, found)
+        _add_cpu_victims(pool_state, member, shape, found)
     return found
 
 
-def neighbour_score(fleet: Fleet, ends_at: float) -> Callable[[int], float]:
+def neighbour_score(pool_state: PoolState, ends_at: float) -> Callable[[int], float]:
     """Score cells by the distance of their neighbours' mean end from a job's end.
 
     :param ends_at: expected end of the job, in loop seconds
     """
-    tree = fleet.tree
+    tree = pool_state.tree
 
     def score(cell: int) -> float:
         parent = tree.cells[cell].parent
@@ -102,7 +104,7 @@
         ends = [
             job.started_at + job.expected_s
             for host, _ in tree.hosts_in(around)
-            for job in map(fleet.jobs.__getitem__, fleet.hosts[host].jobs)
+            for job in map(pool_state.jobs.__getitem__, pool_state.hosts[host].jobs)
             if job.allocated_accelerators
         ]
         return abs(sum(ends) / len(ends) - ends_at) if ends else 0.0
@@ -119,40 +121,46 @@
         yield from tree.cells_inside(cell, kind)
 
 
-def _tasks_in(fleet: Fleet, available: AvailableCount, cell: int, shape: Shape) -> int:
-    row = fleet.tree.cells[cell]
-    if fleet.tree.kinds[row.kind].profile is None:
-        return sum(_tasks_in(fleet, available, child, shape) for child in row.children)
-    per_task = fleet.accelerators_per_task(
-        fleet.tree.host_of_accelerator[row.start], shape
+def _tasks_in(
+    pool_state: PoolState, available: AvailableCount, cell: int, shape: Shape
+) -> int:
+    row = pool_state.tree.cells[cell]
+    if pool_state.tree.kinds[row.kind].profile is None:
+        return sum(
+            _tasks_in(pool_state, available, child, shape) for child in row.children
+        )
+    per_task = pool_state.accelerators_per_task(
+        pool_state.tree.host_of_accelerator[row.start], shape
     )
     return available(cell) // per_task if per_task else 0
 
 
 def _fill_cell(
-    fleet: Fleet,
+    pool_state: PoolState,
     available: AvailableCount,
     cell: int,
     shape: Shape,
     result: list[Member],
 ) -> None:
     """Place tasks into the best-fitting child, or into the largest until one fits."""
-    row = fleet.tree.cells[cell]
-    if fleet.tree.kinds[row.kind].profile is not None:
-        host = fleet.tree.host_of_accelerator[row.start]
+    row = pool_state.tree.cells[cell]
+    if pool_state.tree.kinds[row.kind].profile is not None:
+        host = pool_state.tree.host_of_accelerator[row.start]
         taken: list[int] = []
         _take(
-            fleet.tree,
+            pool_state.tree,
             available,
             cell,
-            shape.tasks * fleet.accelerators_per_task(host, shape),
+            shape.tasks * pool_state.accelerators_per_task(host, shape),
             taken,
         )
-        result.append(fleet.make_member(host, taken, shape.tasks))
+        result.append(pool_state.make_member(host, taken, shape.tasks))
         return
-    room = {child: _tasks_in(fleet, available, child, shape) for child in row.children}
+    room = {
+        child: _tasks_in(pool_state, available, child, shape) for child in row.children
+    }
     for child, given in _best_fit(room, shape.tasks):
-        _fill_cell(fleet, available, child, shape._replace(tasks=given), result)
+        _fill_cell(pool_state, available, child, shape._replace(tasks=given), result)
 
 
 def _take(
@@ -182,16 +190,16 @@
 
 
 def _add_cpu_victims(
-    fleet: Fleet, member: Member, shape: Shape, found: dict[str, None]
+    pool_state: PoolState, member: Member, shape: Shape, found: dict[str, None]
 ) -> None:
     """Add jobs without accelerators until the member's cores and memory suffice.
 
     Jobs that are victims already come first, then jobs already being evicted.
     """
-    usage = fleet.hosts[member.host]
+    usage = pool_state.hosts[member.host]
     cores = usage.free_cores - member.tasks * shape.cores
     memory_gb = usage.free_memory_gb - member.tasks * shape.memory_gb
-    jobs = [fleet.jobs[job_id] for job_id in reversed(usage.jobs)]
+    jobs = [pool_state.jobs[job_id] for job_id in reversed(usage.jobs)]
     chosen = [job for job in jobs if job.job_id in found]
     evicting = [job for job in jobs if job.evicting and job.job_id not in found]
     others = [
--- a/libs/scheduling/src/bilberryhitch_scheduling/explanations.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/explanations.py
@@ -6,9 +6,9 @@
 
 from .account_shares import AccountShares
 from .allocator import Allocator
-from .fleet import Fleet
 from .guaranteed_cells import GuaranteedCells
 from .jobs import Job
+from .pool_state import PoolState
 
 
 class BoundCellRow(NamedTuple):
@@ -25,13 +25,15 @@
     jobs: tuple[str, ...]
 
 
-def bound_cell_rows(fleet: Fleet, guarantees: GuaranteedCells) -> list[BoundCellRow]:
+def bound_cell_rows(
+    pool_state: PoolState, guarantees: GuaranteedCells
+) -> list[BoundCellRow]:
     """Return one row per bound cell."""
     rows = []
     for bound in guarantees.bound_cells():
         location = tuple(
-            (host, tuple(a - fleet.tree.first_accelerator[host] for a in taken))
-            for host, taken in fleet.tree.hosts_in(bound.cell)
+            (host, tuple(a - pool_state.tree.first_accelerator[host] for a in taken))
+            for host, taken in pool_state.tree.hosts_in(bound.cell)
         )
         key = bound.key
         row = BoundCellRow(
--- a/libs/scheduling/src/bilberryhitch_scheduling/feasibility.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/feasibility.py
@@ -6,9 +6,9 @@
 
 from .allocator import Allocator
 from .cell_search import place_in_cell, search_cells
-from .fleet import Fleet
 from .guaranteed_cells import GuaranteedCells
 from .jobs import Job
+from .pool_state import PoolState
 from .run_time_estimates import RunTimeEstimates
 
 
@@ -20,11 +20,13 @@
     """
 
     def __init__(self, hosts: Iterable[Host], pool: Pool, data_centre: str) -> None:
-        self._fleet = Fleet(hosts)
+        self._pool_state = PoolState(hosts)
         rows = [row for row in pool.guarantees if row.data_centre == data_centre]
-        guarantees = GuaranteedCells(self._fleet.tree, self._fleet.reclaimable, rows)
+        guarantees = GuaranteedCells(
+            self._pool_state.tree, self._pool_state.reclaimable, rows
+        )
         self._allocator = Allocator(
-            self._fleet, guarantees, RunTimeEstimates(), displace=_ignore_displaced
+            self._pool_state, guarantees, RunTimeEstimates(), displace=_ignore_displaced
         )
         self._allocator.borrowing = pool.borrowing
         self._fits_spare_by_shape: dict[Shape, bool] = {}
@@ -35,12 +37,14 @@
         if shape.tasks < 1:
             return "a gang has at least one task"
         if shape.accelerators == 0:
-            fits = self._fleet.cpu_members(shape, protected=not job.spec.may_borrow)
+            fits = self._pool_state.cpu_members(
+                shape, protected=not job.spec.may_borrow
+            )
             if fits is not None:
                 return ""
-        if not allocator.uses_accelerators(job) or not self._fleet.tree.candidate_kinds(
-            shape
-        ):
+        if not allocator.uses_accelerators(
+            job
+        ) or not self._pool_state.tree.candidate_kinds(shape):
             return "no cell of the pool holds the gang"
         if not allocator.requires_protection(job):
             return ""
@@ -57,12 +61,15 @@
             found = any(
                 self._allocator.keeps_guarantees(members)
                 for group in search_cells(
-                    self._fleet.tree, self._fleet.reclaimable, shape
+                    self._pool_state.tree, self._pool_state.reclaimable, shape
                 )
                 for cell in group
                 if (
                     members := place_in_cell(
-                        self._fleet, self._fleet.reclaimable.available, cell, shape
+                        self._pool_state,
+                        self._pool_state.reclaimable.available,
+                        cell,
+                        shape,
                     )
                 )
             )
--- a/libs/scheduling/src/bilberryhitch_scheduling/gang_reservations.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/gang_reservations.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterator
 
-from .fleet import Fleet, HostUsage
 from .jobs import Job
+from .pool_state import HostUsage, PoolState
 
 MAX_RESERVATIONS = 4  # per pool
 MAX_RESERVED_SHARE = 0.5  # of the workers; above it no reservation is added
@@ -39,10 +39,10 @@
 
 
 class GangReservations:
-    """All reservations of a pool; each marks its workers in ``Fleet.free``."""
+    """All reservations of a pool; each marks its workers in ``PoolState.free``."""
 
-    def __init__(self, fleet: Fleet) -> None:
-        self._fleet = fleet
+    def __init__(self, pool_state: PoolState) -> None:
+        self._pool_state = pool_state
         self._by_job: dict[str, GangReservation] = {}
         self._hosts: set[str] = set()
 
@@ -56,7 +56,9 @@
     def full(self) -> bool:
         """Whether the limits allow no further reservation."""
         enough = len(self._by_job) >= MAX_RESERVATIONS
-        return enough or len(self._hosts) > MAX_RESERVED_SHARE * len(self._fleet.hosts)
+        return enough or len(self._hosts) > MAX_RESERVED_SHARE * len(
+            self._pool_state.hosts
+        )
 
     def reserve(self, job: Job, now: float) -> bool:
         """Reserve the workers of the cell that is expected to be free first.
@@ -109,11 +111,11 @@
             return
         reservation.held = value
         for host in reservation.hosts:
-            accelerators = self._fleet.tree.accelerators_of(host)
+            accelerators = self._pool_state.tree.accelerators_of(host)
             if value:
-                self._fleet.free.mark(accelerators)
+                self._pool_state.free.mark(accelerators)
             else:
-                self._fleet.free.unmark(accelerators)
+                self._pool_state.free.unmark(accelerators)
 
     def _earliest(self, job: Job, now: float) -> tuple[float, tuple[str, ...]] | None:
         best: tuple[float, tuple[str, ...]] | None = None
@@ -124,7 +126,7 @@
         return best
 
     def _cells(self, job: Job) -> Iterator[int]:
-        tree, free = self._fleet.tree, self._fleet.free
+        tree, free = self._pool_state.tree, self._pool_state.free
         count = 0
         for kind in tree.candidate_kinds(job.shape):
             cells = sorted(tree.by_kind[kind], key=lambda cell: -free.available(cell))
@@ -139,19 +141,19 @@
     ) -> tuple[float, tuple[str, ...]] | None:
         times = sorted(
             (self._is_protected(host), self._free_at(host, now), position, host)
-            for position, (host, _) in enumerate(self._fleet.tree.hosts_in(cell))
-            if host not in self._hosts and self._fleet.usable(host)
+            for position, (host, _) in enumerate(self._pool_state.tree.hosts_in(cell))
+            if host not in self._hosts and self._pool_state.usable(host)
         )
         tasks_left = job.shape.tasks
         hosts: list[str] = []
         latest = now
         for _, at, _, host in times:
-            per_task = self._fleet.accelerators_per_task(host, job.shape)
+            per_task = self._pool_state.accelerators_per_task(host, job.shape)
             if not per_task:
                 continue
             hosts.append(host)
             latest = max(latest, at)
-            tasks_left -= self._fleet.tree.profiles[host].accelerators // per_task
+            tasks_left -= self._pool_state.tree.profiles[host].accelerators // per_task
             if tasks_left <= 0:
                 return latest, tuple(hosts)
         return None
@@ -164,18 +166,20 @@
 
         Guaranteed cells are often reused at once, and lost workers are not free.
         """
-        reclaimable = self._fleet.reclaimable
-        return any(map(reclaimable.is_taken, self._fleet.tree.accelerators_of(host)))
+        reclaimable = self._pool_state.reclaimable
+        return any(
+            map(reclaimable.is_taken, self._pool_state.tree.accelerators_of(host))
+        )
 
     def _free_at(self, host: str, now: float) -> float:
-        usage = self._fleet.hosts[host]
+        usage = self._pool_state.hosts[host]
         return max(
             (self._expected_end(job, now) for job in self._jobs_on(usage)), default=now
         )
 
     def _jobs_on(self, usage: HostUsage) -> Iterator[Job]:
         for job_id in usage.jobs:
-            job = self._fleet.jobs[job_id]
+            job = self._pool_state.jobs[job_id]
             if job.allocated_accelerators:
                 yield job
 
--- a/libs/scheduling/src/bilberryhitch_scheduling/lifecycle.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/lifecycle.py
@@ -56,7 +56,7 @@
         """Requeue jobs that wait for evictions on a worker that takes no new work."""
         for job in list(self.clearing.values()):
             if not all(
-                self.allocator.fleet.usable(member.host) for member in job.members
+                self.allocator.pool_state.usable(member.host) for member in job.members
             ):
                 self.release(job, 0.0)
                 self.enqueue(job)
@@ -146,5 +146,5 @@
 
         :param size: accelerators of the work
         """
-        total = self.allocator.fleet.tree.accelerators
+        total = self.allocator.pool_state.tree.accelerators
         return self.shares.allows_urgent(client_account, size, total)
--- a/libs/scheduling/src/bilberryhitch_scheduling/fleet.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/pool_state.py
@@ -29,7 +29,7 @@
         self.unusable: set[str] = set()
 
 
-class Fleet:
+class PoolState:
     """Allocations of one pool in one data centre; all updates are incremental.
 
     A job that waits for evictions claims accelerators that other jobs still own. It
--- a/libs/scheduling/src/bilberryhitch_scheduling/scheduler.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/scheduler.py
@@ -19,10 +19,10 @@
 from .fair_groups import QueueEntry
 from .fair_queue import Dropped
 from .feasibility import Feasibility
-from .fleet import Fleet
 from .guaranteed_cells import GuaranteedCells
 from .jobs import Job
 from .lifecycle import Lifecycle
+from .pool_state import PoolState
 from .pool_workers import PoolWorkers
 from .run_time_estimates import RunTimeEstimates
 
@@ -174,11 +174,11 @@
     def host_back(self, host: Host) -> None:
         """Report a worker that is new, changed or available again."""
         unchanged = self._workers.put(host)
-        if not unchanged or host.name not in self._fleet.hosts:
+        if not unchanged or host.name not in self._pool_state.hosts:
             self._workers.set_unusable(host.name, "lost", False)
             self._rebuild_cells()
             return
-        self._fleet.hosts[host.name].host = host
+        self._pool_state.hosts[host.name].host = host
         self._set_unusable(host.name, "lost", False)
         self._set_unusable(host.name, "leaving", host.state == "leaving")
 
@@ -197,11 +197,11 @@
         self._lifecycle.queue.limit = pool.max_queued
         self._workers.pool = pool
         workers = self._workers.workers()
-        if any(host.name not in self._fleet.hosts for host in workers):
+        if any(host.name not in self._pool_state.hosts for host in workers):
             self._rebuild_cells()
             return
         names = {host.name for host in workers}
-        for name in self._fleet.hosts:
+        for name in self._pool_state.hosts:
             self._set_unusable(name, "removed", name not in names)
         self._allocator.guarantees.set_rows(self._workers.guarantees())
         self._apply_pool_row()
@@ -229,28 +229,30 @@
     def bound_cells(self) -> list[BoundCellRow]:
         """Return the bound guaranteed cells with their locations and jobs."""
         self._lifecycle.bind_adopted()
-        return bound_cell_rows(self._fleet, self._allocator.guarantees)
+        return bound_cell_rows(self._pool_state, self._allocator.guarantees)
 
     def _build_cells(self) -> None:
         hosts = self._workers.workers()
-        self._fleet = Fleet(hosts)
+        self._pool_state = PoolState(hosts)
         rows = self._workers.guarantees()
-        guarantees = GuaranteedCells(self._fleet.tree, self._fleet.reclaimable, rows)
+        guarantees = GuaranteedCells(
+            self._pool_state.tree, self._pool_state.reclaimable, rows
+        )
         self._allocator = Allocator(
-            self._fleet, guarantees, self._estimates, self._lifecycle.displace
+            self._pool_state, guarantees, self._estimates, self._lifecycle.displace
         )
         self._lifecycle.allocator = self._allocator
         for host in hosts:
             self._workers.set_unusable(host.name, "removed", False)
             for reason in self._workers.unusable_reasons(host):
-                self._fleet.set_unusable(host.name, reason, True)
+                self._pool_state.set_unusable(host.name, reason, True)
         self._apply_pool_row()
 
     def _apply_pool_row(self) -> None:
         hosts = self._workers.workers()
         cores = sum(host.cores for host in hosts)
         self._accelerators_per_core = (
-            self._fleet.tree.accelerators / cores if cores else 1.0
+            self._pool_state.tree.accelerators / cores if cores else 1.0
         )
         self._allocator.borrowing = self._pool.borrowing
         self._feasibility = Feasibility(hosts, self._pool, self._data_centre)
@@ -297,7 +299,9 @@
     def _reserve(self, job: Job, now: float) -> None:
         """Reserve workers for a large gang that may borrow but does not fit now."""
         reservations = self._allocator.reservations
-        large = job.shape.total_accelerators > self._fleet.tree.max_worker_accelerators
+        large = (
+            job.shape.total_accelerators > self._pool_state.tree.max_worker_accelerators
+        )
         if not large or job.job_id in reservations or reservations.full:
             return
         if not self._allocator.requires_protection(job):
@@ -306,7 +310,7 @@
     def _set_unusable(self, host: str, reason: str, value: bool) -> None:
         if self._workers.set_unusable(host, reason, value):
             self._lifecycle.capacity_freed = True
-            self._fleet.set_unusable(host, reason, value)
+            self._pool_state.set_unusable(host, reason, value)
         if value:
             self._lifecycle.requeue_unusable()
 
--- a/tests/machines/test_point1_reclaim.py
+++ b/tests/machines/test_point1_reclaim.py
@@ -14,8 +14,8 @@
 from bilberryhitch_scheduling import PoolScheduler, allocator, preemption
 from bilberryhitch_scheduling.adopted_jobs import AdoptedJobs
 from bilberryhitch_scheduling.allocator import Allocator
-from bilberryhitch_scheduling.fleet import Fleet
 from bilberryhitch_scheduling.guaranteed_cells import GuaranteedCells
+from bilberryhitch_scheduling.pool_state import PoolState
 from hypothesis import HealthCheck, Phase, seed, settings
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -410,11 +410,13 @@
     return missing
 
 
-def preempt_anything(fleet, shape, now):
-    left = preemption.count_obtainable(fleet, lambda owner: owner.stage != "clearing")
-    for kind in fleet.tree.candidate_kinds(shape):
-        for cell in fleet.tree.by_kind[kind]:
-            members = preemption.place_in_cell(fleet, left, cell, shape)
+def preempt_anything(pool_state, shape, now):
+    left = preemption.count_obtainable(
+        pool_state, lambda owner: owner.stage != "clearing"
+    )
+    for kind in pool_state.tree.candidate_kinds(shape):
+        for cell in pool_state.tree.by_kind[kind]:
+            members = preemption.place_in_cell(pool_state, left, cell, shape)
             if members is not None:
                 yield members
 
@@ -436,7 +438,7 @@
         "requires_protection",
         lambda self, job: False,
     ),
-    "exclusion of lost hosts": (Fleet, "set_unusable", lambda self, *args: None),
+    "exclusion of lost hosts": (PoolState, "set_unusable", lambda self, *args: None),
     "table order of the reduction": (
         GuaranteedCells,
         "_missing_by_key",
