--- a/libs/app/src/bilberryhitch/standin_command.py
+++ b/libs/app/src/bilberryhitch/standin_command.py
@@ -41,7 +41,7 @@
     address = await server.start()
     try:
         if arguments.platform and arguments.kind != "platform":
-            await register(
+            await register_host(
                 arguments.platform,
                 host._replace(address=f"{address.ip}:{address.port}"),
             )
@@ -83,7 +83,7 @@
     return WorkerStandin(host, arguments.bind, arguments.port)
 
 
-async def register(platform_url: str, host: Host) -> None:
+async def register_host(platform_url: str, host: Host) -> None:
     """Put a host's row into the stand-in platform's host list.
 
     :raises aiohttp.ClientError: the platform did not take the row
--- a/measure/daemon_cost.py
+++ b/measure/daemon_cost.py
@@ -23,7 +23,7 @@
 from bilberryhitch_model import Host, Pool, Route, to_plain
 from bilberryhitch_standins import PlatformStandin, WorkerStandin
 
-from bilberryhitch.standin_command import register
+from bilberryhitch.standin_command import register_host
 from measure.records import write_record
 
 SIZES = (0, 20, 40, 80)
@@ -66,7 +66,7 @@
         for worker in self.workers:
             address = await worker.start()
             row = worker.model.host._replace(address=f"{address.ip}:{address.port}")
-            await register(platform, row)
+            await register_host(platform, row)
         path = self._folder / "host.jsonc"
         path.write_text(_settings(platform))
         self.process = await asyncio.create_subprocess_exec(
