--- a/libs/app/src/bilberryhitch/__init__.py
+++ b/libs/app/src/bilberryhitch/__init__.py
@@ -1,1 +1,1 @@
-"""The bilberryhitch command line, the entry host's wiring and the demo."""
+"""The command line, the entry host process and the demo."""
--- a/libs/app/src/bilberryhitch/__main__.py
+++ b/libs/app/src/bilberryhitch/__main__.py
@@ -1,4 +1,4 @@
-"""Allows ``python -m bilberryhitch``."""
+"""Runs the command line with ``python -m bilberryhitch``."""
 
 from .main import run
 
--- a/libs/app/src/bilberryhitch/caller_commands.py
+++ b/libs/app/src/bilberryhitch/caller_commands.py
@@ -6,17 +6,17 @@
 import time
 from http import HTTPStatus
 
-from .api_client import ApiAnswer, ApiClient
+from .api_client import ApiClient, ApiResponse
 from .exit_codes import ExitCode, from_http_status
-from .printing import print_answer
+from .printing import print_response
 
-WAIT_CALL_S = 20.0
-FINAL_ERRORS = (
+WAIT_CALL_TIMEOUT_S = 20.0
+PERMANENT_ERRORS = (
     HTTPStatus.BAD_REQUEST,
     HTTPStatus.UNAUTHORIZED,
     HTTPStatus.NOT_FOUND,
 )
-OUTCOME_CODES = {
+OUTCOME_EXIT_CODES = {
     "completed": ExitCode.OK,
     "failed": ExitCode.FAILED,
     "cancelled": ExitCode.FAILED,
@@ -26,16 +26,16 @@
 
 
 async def send_request(client: ApiClient, arguments: argparse.Namespace) -> ExitCode:
-    """Send a request and print its answer."""
+    """Send a request and print its response body."""
     headers = {"Idempotency-Key": arguments.key} if arguments.key else {}
-    answer = await client.call(
+    response = await client.call(
         "POST",
         f"/v1/requests/{arguments.route}",
         arguments.body.encode(),
         headers,
     )
-    sys.stdout.write(answer.body.decode(errors="replace") + "\n")
-    return OUTCOME_CODES.get(answer.outcome, from_http_status(answer.status))
+    sys.stdout.write(response.body.decode(errors="replace") + "\n")
+    return OUTCOME_EXIT_CODES.get(response.outcome, from_http_status(response.status))
 
 
 async def submit_job(client: ApiClient, arguments: argparse.Namespace) -> ExitCode:
@@ -51,65 +51,67 @@
         },
         "run": arguments.run,
     }
-    answer = await client.call("POST", "/v1/jobs", call, headers)
-    code = from_http_status(answer.status)
+    response = await client.call("POST", "/v1/jobs", call, headers)
+    code = from_http_status(response.status)
     if code is not ExitCode.OK or not arguments.wait:
-        return print_answer(answer)
-    return await _wait(client, answer.json["job_id"], 0.0)
+        return print_response(response)
+    return await _poll_until_finished(client, response.json["job_id"], 0.0)
 
 
 async def job_status(client: ApiClient, arguments: argparse.Namespace) -> ExitCode:
     """Print the state of a job."""
-    return print_answer(await client.call("GET", f"/v1/jobs/{arguments.job}"))
+    return print_response(await client.call("GET", f"/v1/jobs/{arguments.job}"))
 
 
 async def wait_for_job(client: ApiClient, arguments: argparse.Namespace) -> ExitCode:
-    """Wait for a job, showing its state while it lasts."""
-    return await _wait(client, arguments.job, arguments.timeout)
+    """Wait until a job has finished and report its state meanwhile."""
+    return await _poll_until_finished(client, arguments.job, arguments.timeout)
 
 
 async def cancel_job(client: ApiClient, arguments: argparse.Namespace) -> ExitCode:
     """Cancel a job."""
-    return print_answer(await client.call("DELETE", f"/v1/jobs/{arguments.job}"))
+    return print_response(await client.call("DELETE", f"/v1/jobs/{arguments.job}"))
 
 
 async def explain_job(client: ApiClient, arguments: argparse.Namespace) -> ExitCode:
-    """Print why a job is where it is."""
-    return print_answer(await client.call("GET", f"/v1/jobs/{arguments.job}/explain"))
+    """Print the reason for the state of a job."""
+    return print_response(await client.call("GET", f"/v1/jobs/{arguments.job}/explain"))
 
 
-async def _wait(client: ApiClient, job_id: str, timeout_s: float) -> ExitCode:
-    started = time.monotonic()
+async def _poll_until_finished(
+    client: ApiClient, job_id: str, timeout_s: float
+) -> ExitCode:
+    started_s = time.monotonic()
     while True:
-        answer = await client.call(
-            "GET", f"/v1/jobs/{job_id}/wait?timeout_s={WAIT_CALL_S}"
+        response = await client.call(
+            "GET", f"/v1/jobs/{job_id}/wait?timeout_s={WAIT_CALL_TIMEOUT_S}"
         )
-        elapsed = time.monotonic() - started
-        if _is_over(answer):
-            return _print_outcome(answer)
-        _show_progress(job_id, answer, elapsed)
-        if timeout_s and elapsed > timeout_s:
-            return _print_outcome(answer)
-        if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+        elapsed_s = time.monotonic() - started_s
+        if _is_final(response):
+            return _print_outcome(response)
+        _show_progress(job_id, response, elapsed_s)
+        if timeout_s and elapsed_s > timeout_s:
+            return _print_outcome(response)
+        if response.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             await asyncio.sleep(1.0)
 
 
-def _is_over(answer: ApiAnswer) -> bool:
-    if answer.status in FINAL_ERRORS:
+def _is_final(response: ApiResponse) -> bool:
+    if response.status in PERMANENT_ERRORS:
         return True
-    body = answer.json
+    body = response.json
     return isinstance(body, dict) and body.get("state") == "finished"
 
 
-def _print_outcome(answer: ApiAnswer) -> ExitCode:
-    print_answer(answer)
-    body = answer.json
+def _print_outcome(response: ApiResponse) -> ExitCode:
+    print_response(response)
+    body = response.json
     if isinstance(body, dict) and body.get("status"):
-        return OUTCOME_CODES[body["status"]]
-    return from_http_status(answer.status)
+        return OUTCOME_EXIT_CODES[body["status"]]
+    return from_http_status(response.status)
 
 
-def _show_progress(job_id: str, answer: ApiAnswer, elapsed_s: float) -> None:
-    body = answer.json
+def _show_progress(job_id: str, response: ApiResponse, elapsed_s: float) -> None:
+    body = response.json
     state = body.get("state", "?") if isinstance(body, dict) else "?"
     sys.stderr.write(f"{job_id}: {state} after {elapsed_s:.0f} s\n")
--- a/libs/app/src/bilberryhitch/check_command.py
+++ b/libs/app/src/bilberryhitch/check_command.py
@@ -1,4 +1,4 @@
-"""The ``check`` command: reads a file and starts nothing."""
+"""The ``check`` command: validates a settings file or a tables file."""
 
 import argparse
 import sys
@@ -12,9 +12,10 @@
 
 
 def check(arguments: argparse.Namespace) -> ExitCode:
-    """Check a settings file, or a tables file with ``routes`` or ``pools``.
+    """Validate a settings file, or a tables file with ``routes`` or ``pools``.
 
-    Rules that need the platform's host list are checked when the table is put.
+    Rules that need the platform's host list are only checked when an entry host
+    receives the table.
     """
     path = Path(arguments.file)
     if _is_tables_file(path):
@@ -27,7 +28,7 @@
 
 
 def print_settings_error(error: SettingsInvalid) -> ExitCode:
-    """Print what is wrong with a settings file."""
+    """Print the error in a settings file to stderr."""
     sys.stderr.write(f"{error.file}: {error.path}: {error.value!r}: {error.rule}\n")
     return ExitCode.BAD_INPUT
 
@@ -53,6 +54,6 @@
 
 
 def _print_table_error(path: Path, error: TableInvalid) -> ExitCode:
-    place = f"{error.row}.{error.field}" if error.row else error.field
-    sys.stderr.write(f"{path}: {place}: {error.value!r}: {error.rule}\n")
+    location = f"{error.row}.{error.field}" if error.row else error.field
+    sys.stderr.write(f"{path}: {location}: {error.value!r}: {error.rule}\n")
     return ExitCode.BAD_INPUT
--- a/libs/app/src/bilberryhitch/demo_cluster.py
+++ b/libs/app/src/bilberryhitch/demo_cluster.py
@@ -1,4 +1,4 @@
-"""Starts every process of a deployment as objects of this process."""
+"""Runs all components of a deployment within the demo process."""
 
 import asyncio
 import hashlib
@@ -10,23 +10,28 @@
 from bilberryhitch_settings import Platform as PlatformSettings
 from bilberryhitch_standins import ExecutorStandin, WorkerStandin
 
-from .demo_deployments import ACCELERATORS, Deployment, endpoint_hosts, tables
-from .entry_host import EntryHost, Platform
+from .demo_deployments import (
+    ACCELERATORS_PER_WORKER,
+    Deployment,
+    endpoint_hosts,
+    table_rows,
+)
+from .entry_host import EntryHost, PlatformServices
 from .ports import free_ports
 
 ENTRY_HOSTS_PER_DATA_CENTRE = 2
-READY_LIMIT_S = 20.0
-POLL_S = 0.1
+READY_TIMEOUT_S = 20.0
+CONDITION_POLL_INTERVAL_S = 0.1
 LOOPBACK = "127.0.0.1"
 
 
 class DemoCluster:
-    """Entry hosts, workers and executors on loopback, one in-memory platform."""
+    """Entry hosts, workers and executors on loopback with an in-memory platform."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
         self._host_list = MemoryHostList()
-        self._platform = Platform(MemoryTables(), self._host_list)
+        self._platform = PlatformServices(MemoryTables(), self._host_list)
         self._entry_hosts: list[EntryHost] = []
         self._workers: list[WorkerStandin] = []
         self._executors: list[ExecutorStandin] = []
@@ -41,26 +46,29 @@
 
     @property
     def accelerators(self) -> int:
-        """Accelerators of all workers."""
-        return ACCELERATORS * len(self._workers)
+        """Total number of accelerators."""
+        return ACCELERATORS_PER_WORKER * len(self._workers)
 
     def accelerators_in_use(self) -> int:
-        """Return accelerators on which a task runs now."""
+        """Return the number of accelerators on which a task is running."""
         return sum(worker.model.usage()["accelerators"] for worker in self._workers)
 
     async def start(self) -> None:
-        """Start everything, put the tables and wait until they are in force."""
+        """Start all components and wait until all entry hosts have the tables.
+
+        :raises TimeoutError: the tables were not adopted in time
+        """
         for row in endpoint_hosts(self._deployment):
             await self._start_endpoint(row)
-        for settings in _settings(self._deployment):
+        for settings in _make_settings(self._deployment):
             host = EntryHost(settings, self._platform)
             self._entry_hosts.append(host)
             await host.start()
-        async with asyncio.timeout(READY_LIMIT_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             await self._put_tables()
 
     async def close(self) -> None:
-        """Stop everything, entry hosts first."""
+        """Stop all components, entry hosts first."""
         await asyncio.gather(*(host.close() for host in self._entry_hosts))
         await asyncio.gather(*(worker.close() for worker in self._workers))
         await asyncio.gather(*(executor.close() for executor in self._executors))
@@ -79,28 +87,28 @@
     async def _put_tables(self) -> None:
         first = self._entry_hosts[0]
         centre = self._deployment.data_centres[0]
-        await _until(
+        await _wait_until(
             lambda: first.ready and first.membership.endpoints("worker", centre)
         )
-        result = await first.config.commit(tables(self._deployment), 0, "demo")
+        result = await first.config.commit(table_rows(self._deployment), 0, "demo")
         if result.is_error():
             raise result.error
-        await _until(
+        await _wait_until(
             lambda: all(host.config.tables_view.revision for host in self._entry_hosts)
         )
 
 
-async def _until(condition: Callable[[], object]) -> None:
-    while not condition():  # noqa: ASYNC110 - there is no event to wait for
-        await asyncio.sleep(POLL_S)
+async def _wait_until(condition: Callable[[], object]) -> None:
+    while not condition():  # noqa: ASYNC110 - conditions have no event
+        await asyncio.sleep(CONDITION_POLL_INTERVAL_S)
 
 
 def caller_token(client_account: str) -> str:
-    """Return the token of an account's only caller."""
+    """Return the token of the only caller of a client account."""
     return f"demo-{client_account}"
 
 
-def _settings(deployment: Deployment) -> Sequence[Settings]:
+def _make_settings(deployment: Deployment) -> Sequence[Settings]:
     names = [
         (centre, f"{centre}-entry-{number}")
         for centre in deployment.data_centres
--- a/libs/app/src/bilberryhitch/demo_command.py
+++ b/libs/app/src/bilberryhitch/demo_command.py
@@ -1,4 +1,4 @@
-"""The ``demo`` command: a short day of both deployments in one process."""
+"""The ``demo`` command: runs a simulated workload on two deployments."""
 
 import argparse
 import asyncio
@@ -9,65 +9,73 @@
 
 from .demo_cluster import DemoCluster
 from .demo_deployments import MUSCAT, RABAT, Deployment
-from .demo_load import DayLoad, Ending
-from .demo_report import Usage, outcome_table, usage_line
+from .demo_load import WorkloadGenerator, WorkResult
+from .demo_report import UsageSample, outcome_table, usage_line
 from .exit_codes import ExitCode
 
-SAMPLE_S = 0.25
-PROGRESS_EVERY = 8
+USAGE_SAMPLE_INTERVAL_S = 0.25
+PROGRESS_INTERVAL_SAMPLES = 8
 
 
 def demo(arguments: argparse.Namespace) -> ExitCode:
-    """Run both days; fails when any work has no outcome or a wrong answer."""
+    """Run the workload on both deployments.
+
+    Fails if a request or a job has no outcome or a response has wrong content.
+    """
     start_logs("ERROR")
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        truthful = [
-            runner.run(_day(deployment, arguments)) for deployment in (MUSCAT, RABAT)
+        passed = [
+            runner.run(_run_workload(deployment, arguments))
+            for deployment in (MUSCAT, RABAT)
         ]
-    return ExitCode.OK if all(truthful) else ExitCode.FAILED
+    return ExitCode.OK if all(passed) else ExitCode.FAILED
 
 
-async def _day(deployment: Deployment, arguments: argparse.Namespace) -> bool:
+async def _run_workload(deployment: Deployment, arguments: argparse.Namespace) -> bool:
     cluster = DemoCluster(deployment)
-    endings: list[Ending] = []
-    usage: list[Usage] = []
+    results: list[WorkResult] = []
+    usage: list[UsageSample] = []
     try:
         await cluster.start()
-        load = DayLoad(
+        load = WorkloadGenerator(
             deployment,
             cluster.apis,
             seconds=arguments.seconds,
             seed=arguments.seed,
-            on_ending=endings.append,
+            on_result=results.append,
+        )
+        sampler = asyncio.create_task(
+            _sample_usage(deployment, cluster, load, results, usage)
         )
-        watch = asyncio.create_task(_watch(deployment, cluster, load, endings, usage))
         await load.run()
-        watch.cancel()
+        sampler.cancel()
     finally:
         await cluster.close()
     print(f"\n{deployment.name}: {load.sent} calls in {arguments.seconds:g} s")
-    print(outcome_table(endings))
+    print(outcome_table(results))
     print(usage_line(usage, cluster.accelerators) + "\n", flush=True)
     known = {"completed", "failed", "not_run", "unknown", "cancelled"}
-    return len(endings) == load.sent and all(e.outcome in known for e in endings)
+    return len(results) == load.sent and all(e.outcome in known for e in results)
 
 
-async def _watch(
+async def _sample_usage(
     deployment: Deployment,
     cluster: DemoCluster,
-    load: DayLoad,
-    endings: list[Ending],
-    usage: list[Usage],
+    load: WorkloadGenerator,
+    results: list[WorkResult],
+    usage: list[UsageSample],
 ) -> None:
-    """Sample accelerators in use and show progress."""
+    """Sample the accelerators in use and print progress to stderr."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_s = loop.time()
     while True:
-        usage.append(Usage(loop.time() - began, cluster.accelerators_in_use()))
-        if len(usage) % PROGRESS_EVERY == 0:
+        usage.append(
+            UsageSample(loop.time() - started_s, cluster.accelerators_in_use())
+        )
+        if len(usage) % PROGRESS_INTERVAL_SAMPLES == 0:
             sys.stderr.write(
                 f"{deployment.name} {usage[-1].at_s:4.0f} s: {load.sent} sent, "
-                f"{len(endings)} answered, {usage[-1].in_use} of "
+                f"{len(results)} answered, {usage[-1].in_use} of "
                 f"{cluster.accelerators} accelerators in use\n"
             )
-        await asyncio.sleep(SAMPLE_S)
+        await asyncio.sleep(USAGE_SAMPLE_INTERVAL_S)
--- a/libs/app/src/bilberryhitch/demo_deployments.py
+++ b/libs/app/src/bilberryhitch/demo_deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of the demo: hosts, tables and kinds of work."""
+"""The two deployments of the demo: hosts, tables and workload."""
 
 from typing import Literal, NamedTuple
 
@@ -17,19 +17,19 @@
 REQUEST_POOL = "checks"
 
 
-class Kind(NamedTuple):
-    """One kind of work of one client account.
+class WorkloadKind(NamedTuple):
+    """One kind of requests or jobs of one client account.
 
-    :param rate: arrivals per second
-    :param seconds: shortest and longest run time, scaled down for the demo
-    :param shapes: shapes that arrive, in turn
+    :param arrivals_per_s: mean arrival rate
+    :param run_time_range_s: shortest and longest run time, in seconds
+    :param shapes: shapes of the jobs, used in turn
     """
 
     route: str
     work: WorkKind
     client_account: str
-    rate: float
-    seconds: tuple[float, float]
+    arrivals_per_s: float
+    run_time_range_s: tuple[float, float]
     shapes: tuple[Shape, ...] = ()
     urgency: Urgency = "normal"
     idempotent: bool = True
@@ -37,9 +37,13 @@
 
 
 class Deployment(NamedTuple):
-    """Sizes and work of one deployment.
+    """Size and workload of one deployment.
 
-    :param rack_size: workers in a rack
+    :param workers: number of workers
+    :param executors: number of executors
+    :param rack_size: number of workers per rack
+    :param cores: CPU cores per worker
+    :param memory_gb: memory per worker, in GB
     """
 
     name: Literal["muscat", "rabat"]
@@ -50,10 +54,10 @@
     cores: int
     memory_gb: int
     guarantees: tuple[Guarantee, ...]
-    kinds: tuple[Kind, ...]
+    kinds: tuple[WorkloadKind, ...]
 
 
-ACCELERATORS = 8
+ACCELERATORS_PER_WORKER = 8
 
 MUSCAT = Deployment(
     name="muscat",
@@ -70,9 +74,13 @@
         Guarantee("oman-assay", "qurum", 16),
     ),
     kinds=(
-        Kind("solder-fit", "request", "muttrah", 20.0, (0.02, 0.06), urgency="urgent"),
-        Kind("bench-fit", "request", "nizwa", 6.0, (0.02, 0.06), urgency="urgent"),
-        Kind(
+        WorkloadKind(
+            "solder-fit", "request", "muttrah", 20.0, (0.02, 0.06), urgency="urgent"
+        ),
+        WorkloadKind(
+            "bench-fit", "request", "nizwa", 6.0, (0.02, 0.06), urgency="urgent"
+        ),
+        WorkloadKind(
             "hallmark-batch",
             "job",
             "oman-assay",
@@ -81,7 +89,7 @@
             (Shape(1, 1), Shape(4, 1), Shape(8, 1)),
             "low",
         ),
-        Kind(
+        WorkloadKind(
             "design-render",
             "job",
             "al-batinah",
@@ -90,7 +98,7 @@
             (Shape(2, 8), Shape(4, 8)),
             checkpoint=True,
         ),
-        Kind(
+        WorkloadKind(
             "clasp-simulation",
             "job",
             "al-batinah",
@@ -116,7 +124,7 @@
         Guarantee("university-clubs", "tanger-c", 8),
     ),
     kinds=(
-        Kind(
+        WorkloadKind(
             "motion-set",
             "request",
             "school-leagues",
@@ -125,9 +133,11 @@
             urgency="urgent",
             idempotent=False,
         ),
-        Kind("ruling", "request", "university-clubs", 25.0, (0.01, 0.04)),
-        Kind("old-ruling", "request", "regional", 8.0, (0.01, 0.04), urgency="low"),
-        Kind(
+        WorkloadKind("ruling", "request", "university-clubs", 25.0, (0.01, 0.04)),
+        WorkloadKind(
+            "old-ruling", "request", "regional", 8.0, (0.01, 0.04), urgency="low"
+        ),
+        WorkloadKind(
             "ranking",
             "job",
             "federation",
@@ -137,13 +147,15 @@
             "low",
             checkpoint=True,
         ),
-        Kind("league-table", "job", "regional", 2.0, (0.3, 1.0), (Shape(2, 1),)),
+        WorkloadKind(
+            "league-table", "job", "regional", 2.0, (0.3, 1.0), (Shape(2, 1),)
+        ),
     ),
 )
 
 
 def endpoint_hosts(deployment: Deployment) -> list[Host]:
-    """Return the workers and executors, spread evenly over the data centres."""
+    """Return workers and executors, distributed evenly over the data centres."""
     centres = deployment.data_centres
     hosts = []
     for number in range(deployment.workers):
@@ -158,7 +170,7 @@
                 boot_id=f"boot-{number}",
                 rack=f"{centre}-rack-{rank // deployment.rack_size}",
                 position=rank % deployment.rack_size,
-                accelerators=ACCELERATORS,
+                accelerators=ACCELERATORS_PER_WORKER,
                 cores=deployment.cores,
                 memory_gb=deployment.memory_gb,
             )
@@ -170,8 +182,8 @@
     return hosts
 
 
-def tables(deployment: Deployment) -> TableChange:
-    """Return the rows of both tables."""
+def table_rows(deployment: Deployment) -> TableChange:
+    """Return the change that adds the rows of both tables."""
     hosts = endpoint_hosts(deployment)
     names = {
         kind: tuple(host.name for host in hosts if host.kind == kind)
@@ -186,7 +198,7 @@
     )
 
 
-def _route(kind: Kind) -> Route:
+def _route(kind: WorkloadKind) -> Route:
     return Route(
         name=kind.route,
         work=kind.work,
@@ -197,5 +209,5 @@
         idempotent=kind.idempotent,
         checkpoint=kind.checkpoint,
         timeout_s=10.0,
-        estimate_s=kind.seconds[1],
+        estimate_s=kind.run_time_range_s[1],
     )
--- a/libs/app/src/bilberryhitch/entry_host.py
+++ b/libs/app/src/bilberryhitch/entry_host.py
@@ -1,4 +1,4 @@
-"""Wires the libraries into one entry host."""
+"""Assembles an entry host from its services."""
 
 import asyncio
 import random
@@ -27,31 +27,33 @@
 from bilberryhitch_settings import Settings
 from bilberryhitch_telemetry import events, log, scrape
 
-from .message_routing import route_messages
+from .message_routing import make_message_handler
 
-WHOLE_USAGE_EVERY = 20
+FULL_USAGE_INTERVAL_HEARTBEATS = 20
 
 
-class Platform(NamedTuple):
-    """The platform's services, when they are not reached over HTTP."""
+class PlatformServices(NamedTuple):
+    """The services of the platform that an entry host uses."""
 
     tables: TableService
     host_list: HostList
 
 
 class EntryHost:
-    """One entry host: services, peer link and API.
+    """One entry host: services, peer link and HTTP API.
 
-    :param platform: used instead of the platform that the settings name
+    :param platform: replaces the platform at the URL in the settings
     """
 
-    def __init__(self, settings: Settings, platform: Platform | None = None) -> None:
+    def __init__(
+        self, settings: Settings, platform: PlatformServices | None = None
+    ) -> None:
         self._settings = settings
         self._identity = Identity(settings.host, settings.data_centre, _new_id())
         self._client: PlatformClient | None = None
         if platform is None:
             self._client = _platform_client(settings)
-            platform = Platform(self._client, self._client)
+            platform = PlatformServices(self._client, self._client)
         self._platform = platform
         self._closing = False
         self._heartbeats = 0
@@ -60,16 +62,16 @@
             self._identity,
             settings.peer_address,
             settings.peers,
-            route_messages(self),
+            make_message_handler(self),
             queue_limit=settings.limits.peer_queue,
-            report=_report_dropped,
+            report=_log_dropped_message,
         )
         self._build_services()
         self._api = self._build_api()
 
     @property
     def api_address(self) -> Address:
-        """Where the API listens."""
+        """The address on which the API listens."""
         return self._api.address
 
     @property
@@ -79,12 +81,12 @@
 
     @property
     def membership(self) -> Membership:
-        """Live and leaving hosts."""
+        """The membership service: live and leaving hosts."""
         return self._membership
 
     @property
     def config(self) -> ConfigService:
-        """Routes and pools."""
+        """The configuration service: routes and pools."""
         return self._config
 
     @property
@@ -99,7 +101,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send work here."""
+        """Whether load balancers should send traffic to this host."""
         return self._config.ready and not self._closing
 
     async def start(self) -> None:
@@ -120,10 +122,10 @@
         log(events.PROCESS_READY, address=str(self.api_address))
 
     async def close(self) -> None:
-        """Finish what is in flight and stop; new work is refused as not run.
+        """Complete work in progress and stop; new work is rejected as not run.
 
-        The API listens until the end, because the balancer still sends calls here
-        for a while and a refusal tells their callers that nothing ran.
+        The API listens until the end: load balancers send traffic for a while after
+        the shutdown has begun, and a response tells callers that nothing ran.
         """
         self._closing = True
         self._membership.leave()
@@ -260,16 +262,18 @@
     def _changed_usage(self) -> dict[str, float]:
         """Return the usage that changed since the last heartbeat.
 
-        With 330 client accounts a whole table in every heartbeat took ten times
-        the control traffic allowed. Totals are cumulative, so a lost heartbeat is
-        made up by the next change or the next whole table.
+        With 330 client accounts, all totals in every heartbeat took ten times the
+        control traffic allowed. Totals are cumulative: a lost heartbeat is compensated
+        by the next change, or by the next heartbeat with all totals.
         """
         usage = self._requests.usage()
-        whole = self._heartbeats % WHOLE_USAGE_EVERY == 0
-        sent = {} if whole else self._sent_usage
+        full = self._heartbeats % FULL_USAGE_INTERVAL_HEARTBEATS == 0
+        previous = {} if full else self._sent_usage
         self._heartbeats += 1
         self._sent_usage = usage
-        return {name: total for name, total in usage.items() if sent.get(name) != total}
+        return {
+            name: total for name, total in usage.items() if previous.get(name) != total
+        }
 
 
 def _platform_client(settings: Settings) -> PlatformClient:
@@ -277,7 +281,7 @@
     return PlatformClient(platform.url, token=platform.token)
 
 
-def _report_dropped(reason: str, fields: Mapping[str, object]) -> None:
+def _log_dropped_message(reason: str, fields: Mapping[str, object]) -> None:
     log(events.PEER_MESSAGE_DROPPED, reason=reason, **fields)
 
 
--- a/libs/app/src/bilberryhitch/exit_codes.py
+++ b/libs/app/src/bilberryhitch/exit_codes.py
@@ -5,7 +5,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the exit status of a command means."""
+    """Exit codes of all commands."""
 
     OK = 0
     FAILED = 1
@@ -18,15 +18,15 @@
     NOT_FOUND = 8
 
 
-MEANINGS: dict[ExitCode, str] = {
+EXIT_CODE_MEANINGS: dict[ExitCode, str] = {
     ExitCode.OK: "done",
     ExitCode.FAILED: "the work ran and failed, or was cancelled",
-    ExitCode.BAD_INPUT: "an argument, a file or a value breaks a rule; nothing changed",
-    ExitCode.NOT_RUN: "the work certainly was not run",
-    ExitCode.UNKNOWN: "the work may have run; the handle printed tells later",
+    ExitCode.BAD_INPUT: "an argument, a file or a value is invalid; nothing changed",
+    ExitCode.NOT_RUN: "the work was definitely not run",
+    ExitCode.UNKNOWN: "the work may have run; query the printed handle later",
     ExitCode.UNAUTHENTICATED: "the token is missing or wrong",
     ExitCode.CONFLICT: "someone else changed the tables first",
-    ExitCode.UNREACHABLE: "no entry host answered",
+    ExitCode.UNREACHABLE: "no entry host responded",
     ExitCode.NOT_FOUND: "no such job, request or host",
 }
 
@@ -36,12 +36,12 @@
     if status < HTTPStatus.BAD_REQUEST:
         return ExitCode.OK
     server_side = status >= HTTPStatus.INTERNAL_SERVER_ERROR
-    return _BY_STATUS.get(
+    return _EXIT_CODES_BY_HTTP_STATUS.get(
         status, ExitCode.FAILED if server_side else ExitCode.BAD_INPUT
     )
 
 
-_BY_STATUS: dict[int, ExitCode] = {
+_EXIT_CODES_BY_HTTP_STATUS: dict[int, ExitCode] = {
     401: ExitCode.UNAUTHENTICATED,
     404: ExitCode.NOT_FOUND,
     409: ExitCode.CONFLICT,
--- a/libs/app/src/bilberryhitch/main.py
+++ b/libs/app/src/bilberryhitch/main.py
@@ -11,32 +11,36 @@
 from .arguments import build_parser
 from .exit_codes import ExitCode
 
-# Set by the shell's completion function while it asks for candidates.
+# Set by the completion function of the shell while it requests candidates.
 COMPLETION_VARIABLE = "_ARGCOMPLETE"
 Command = Callable[[argparse.Namespace], ExitCode]
 
 
 def run() -> None:
-    """Run the command line and exit with its code."""
+    """Run the command line and exit with its exit code."""
     sys.exit(int(execute(sys.argv[1:])))
 
 
-def execute(words: list[str]) -> ExitCode:
+def execute(argv: list[str]) -> ExitCode:
     """Run one command.
 
-    :param words: the arguments after the program's name
+    :param argv: arguments without the program name
     """
     parser = build_parser()
     if COMPLETION_VARIABLE in os.environ:
         import argcomplete
 
         argcomplete.autocomplete(parser)
-    arguments = parser.parse_args(words)
-    return _find_command(arguments.command)(arguments)
+    arguments = parser.parse_args(argv)
+    return _load_command(arguments.command)(arguments)
 
 
-def _find_command(name: str) -> Command:
-    """Import only what the command needs: a process for callers stays small."""
+def _load_command(name: str) -> Command:
+    """Import a command and return it.
+
+    Only the modules that the command needs are imported, so that client commands
+    use little memory.
+    """
     if name == "serve":
         from .serve_command import serve
 
@@ -67,12 +71,12 @@
     commands: dict[
         str, Callable[[ApiClient, argparse.Namespace], Awaitable[ExitCode]]
     ] = {
-        "routes": operator_commands.routes_or_pools,
-        "pools": operator_commands.routes_or_pools,
-        "config": operator_commands.config,
-        "drain": operator_commands.drain,
-        "undrain": operator_commands.drain,
-        "audit": operator_commands.audit,
+        "routes": operator_commands.get_or_put_table,
+        "pools": operator_commands.get_or_put_table,
+        "config": operator_commands.show_config,
+        "drain": operator_commands.drain_or_undrain,
+        "undrain": operator_commands.drain_or_undrain,
+        "audit": operator_commands.show_audit,
         "request": caller_commands.send_request,
         "submit": caller_commands.submit_job,
         "status": caller_commands.job_status,
@@ -81,16 +85,16 @@
         "explain": caller_commands.explain_job,
     }
     command = commands[name]
-    return lambda arguments: asyncio.run(_call(command, arguments))
+    return lambda arguments: asyncio.run(_run_api_command(command, arguments))
 
 
-async def _call(
+async def _run_api_command(
     command: Callable[..., Awaitable[ExitCode]], arguments: argparse.Namespace
 ) -> ExitCode:
-    from .api_client import client_from_arguments
+    from .api_client import make_client
 
     try:
-        client = client_from_arguments(arguments)
+        client = make_client(arguments)
     except OSError as error:
         sys.stderr.write(f"{error.filename}: {error.strerror}\n")
         return ExitCode.BAD_INPUT
@@ -99,15 +103,15 @@
         return await command(client, arguments)
     except OSError as error:
         if isinstance(error, aiohttp.ClientError):
-            return _unreachable(error)
+            return _report_unreachable(error)
         sys.stderr.write(f"{error.filename}: {error.strerror}\n")
         return ExitCode.BAD_INPUT
     except aiohttp.ClientError as error:
-        return _unreachable(error)
+        return _report_unreachable(error)
     finally:
         await client.close()
 
 
-def _unreachable(error: Exception) -> ExitCode:
-    sys.stderr.write(f"no entry host answered: {error}\n")
+def _report_unreachable(error: Exception) -> ExitCode:
+    sys.stderr.write(f"no entry host responded: {error}\n")
     return ExitCode.UNREACHABLE
--- a/libs/app/src/bilberryhitch/message_routing.py
+++ b/libs/app/src/bilberryhitch/message_routing.py
@@ -1,4 +1,4 @@
-"""Hands each message from a peer to the service it is for."""
+"""Dispatches messages from peers to the services of an entry host."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -27,7 +27,7 @@
 
 
 class Services(Protocol):
-    """The services of an entry host that take messages."""
+    """The services of an entry host that process messages."""
 
     @property
     def link(self) -> PeerLink:
@@ -35,11 +35,11 @@
 
     @property
     def membership(self) -> Membership:
-        """Live and leaving hosts."""
+        """The membership service: live and leaving hosts."""
 
     @property
     def config(self) -> ConfigService:
-        """Routes and pools."""
+        """The configuration service: routes and pools."""
 
     @property
     def jobs(self) -> JobService:
@@ -50,12 +50,15 @@
         """The request service."""
 
 
-def route_messages(services: Services) -> Handler:
-    """Return the handler for the peer link."""
+def make_message_handler(services: Services) -> Handler:
+    """Return the message handler for the peer link.
+
+    It returns the reply to a message, or ``None``.
+    """
 
     async def handle(sender: str, message: Message) -> Message | None:
         if isinstance(message, Heartbeat):
-            _hear_heartbeat(services, message)
+            _receive_heartbeat(services, message)
             return None
         if isinstance(message, DrainNotice):
             services.membership.receive_drain_notice(message)
@@ -83,7 +86,7 @@
         services.link.send(host, reply)
 
 
-def _hear_heartbeat(services: Services, heartbeat: Heartbeat) -> None:
+def _receive_heartbeat(services: Services, heartbeat: Heartbeat) -> None:
     services.membership.receive_heartbeat(heartbeat)
     services.config.receive_revision(heartbeat.host, heartbeat.config_revision)
     services.requests.receive_free_slots(heartbeat.host, heartbeat.free_slots)
--- a/libs/app/src/bilberryhitch/ports.py
+++ b/libs/app/src/bilberryhitch/ports.py
@@ -1,15 +1,15 @@
-"""Ports on loopback."""
+"""Finds free TCP ports on loopback."""
 
 import socket
 
 
 def free_ports(count: int) -> list[int]:
-    """Return TCP ports on loopback that the kernel chose and that are free now."""
+    """Return distinct TCP ports on loopback that are currently free."""
     sockets = [socket.socket() for _ in range(count)]
     try:
-        for each in sockets:
-            each.bind(("127.0.0.1", 0))
-        return [each.getsockname()[1] for each in sockets]
+        for sock in sockets:
+            sock.bind(("127.0.0.1", 0))
+        return [sock.getsockname()[1] for sock in sockets]
     finally:
-        for each in sockets:
-            each.close()
+        for sock in sockets:
+            sock.close()
--- a/libs/app/src/bilberryhitch/printing.py
+++ b/libs/app/src/bilberryhitch/printing.py
@@ -1,17 +1,17 @@
-"""Output of the command line."""
+"""Prints responses of the API."""
 
 import sys
 
 import msgspec
 
-from .api_client import ApiAnswer
+from .api_client import ApiResponse
 from .exit_codes import ExitCode, from_http_status
 
 
-def print_answer(answer: ApiAnswer) -> ExitCode:
-    """Print a JSON answer, errors to stderr, and return its exit code."""
-    code = from_http_status(answer.status)
+def print_response(response: ApiResponse) -> ExitCode:
+    """Print a JSON response and return its exit code; errors go to stderr."""
+    code = from_http_status(response.status)
     stream = sys.stdout if code is ExitCode.OK else sys.stderr
-    text = msgspec.json.format(answer.body, indent=2) if answer.body else b""
+    text = msgspec.json.format(response.body, indent=2) if response.body else b""
     stream.write(text.decode(errors="replace") + "\n")
     return code
--- a/libs/app/src/bilberryhitch/serve_command.py
+++ b/libs/app/src/bilberryhitch/serve_command.py
@@ -16,14 +16,14 @@
 from .exit_codes import ExitCode
 from .standin_command import catch_stop_signals
 
-# aiomisc would cut a shutdown short after 60 s; requests in flight and the
-# settings' own limit decide how long it takes.
-SHUTDOWN_LIMIT_S = 30 * 24 * 3600.0
-THREADS = 2
+# Effectively unlimited: the default of aiomisc aborts a shutdown after 60 s, but the
+# settings limit its duration (limits.shutdown_wait_s).
+AIOMISC_SHUTDOWN_TIMEOUT_S = 30 * 24 * 3600.0
+THREAD_COUNT = 2
 
 
 class EntryHostService(aiomisc.Service):
-    """Runs an entry host as a service of the entry point."""
+    """Runs an entry host as a service of the aiomisc entry point."""
 
     def __init__(self, settings: Settings, **kwargs: Any) -> None:
         super().__init__(**kwargs)
@@ -32,7 +32,7 @@
         self._stop: asyncio.Event | None = None
 
     async def start(self) -> None:
-        """Start the entry host and say where it listens."""
+        """Start the entry host and print the address on which it listens."""
         self._stop = catch_stop_signals()
         self._host = EntryHost(self._settings)
         await self._host.start()
@@ -41,12 +41,12 @@
         sys.stdout.flush()
 
     async def wait_for_stop(self) -> None:
-        """Return when the process is asked to stop."""
+        """Wait until the process receives SIGTERM or SIGINT."""
         if self._stop is not None:
             await self._stop.wait()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Finish what is in flight and stop."""
+        """Complete work in progress and stop."""
         if self._host is not None:
             await self._host.close()
 
@@ -63,10 +63,10 @@
     with aiomisc.entrypoint(
         service,
         log_config=False,
-        pool_size=THREADS,
+        pool_size=THREAD_COUNT,
         catch_signals=(),
         loop_factory=uvloop.new_event_loop,
-        shutdown_timeout=SHUTDOWN_LIMIT_S,
+        shutdown_timeout=AIOMISC_SHUTDOWN_TIMEOUT_S,
     ) as loop:
         loop.run_until_complete(service.wait_for_stop())
     return ExitCode.OK
--- a/libs/app/src/bilberryhitch/standin_command.py
+++ b/libs/app/src/bilberryhitch/standin_command.py
@@ -1,4 +1,4 @@
-"""The ``standin`` command: one stand-in of an outside system per process."""
+"""The ``standin`` command: runs one stand-in for an external system."""
 
 import argparse
 import asyncio
@@ -15,28 +15,28 @@
 
 
 class Standin(Protocol):
-    """What every stand-in offers."""
+    """The interface of all stand-ins."""
 
     async def start(self) -> Address:
-        """Listen and return the address in use."""
+        """Start listening and return the address."""
 
     async def close(self) -> None:
-        """Stop."""
+        """Stop the server."""
 
 
 def standin(arguments: argparse.Namespace) -> ExitCode:
     """Run a stand-in until SIGTERM or SIGINT."""
     if arguments.kind != "platform" and not (arguments.name and arguments.data_centre):
-        sys.stderr.write("--name and --data-centre are needed\n")
+        sys.stderr.write("--name and --data-centre are required\n")
         return ExitCode.BAD_INPUT
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(_run(arguments))
 
 
 async def _run(arguments: argparse.Namespace) -> ExitCode:
-    host = _host_row(arguments)
+    host = _make_host(arguments)
     server = _make_standin(arguments, host)
-    # Whoever reads the address may stop the process at once.
+    # Installed first: a parent process may send SIGTERM once the address is printed.
     stop = catch_stop_signals()
     address = await server.start()
     try:
@@ -53,7 +53,7 @@
     return ExitCode.OK
 
 
-def _host_row(arguments: argparse.Namespace) -> Host:
+def _make_host(arguments: argparse.Namespace) -> Host:
     kind: HostKind = "executor" if arguments.kind == "executor" else "worker"
     return Host(
         name=arguments.name,
@@ -84,9 +84,9 @@
 
 
 async def register_host(platform_url: str, host: Host) -> None:
-    """Put a host's row into the stand-in platform's host list.
+    """Add a host to the host list of the stand-in platform.
 
-    :raises aiohttp.ClientError: the platform did not take the row
+    :raises aiohttp.ClientError: the platform did not accept the host
     """
     url = f"{platform_url.rstrip('/')}/v1/hosts/{host.name}"
     async with (
@@ -97,9 +97,9 @@
 
 
 def catch_stop_signals() -> asyncio.Event:
-    """Return an event that is set when the process is asked to stop."""
+    """Return an event that is set on SIGTERM and SIGINT."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     return stop
--- a/libs/app/src/bilberryhitch/trace_command.py
+++ b/libs/app/src/bilberryhitch/trace_command.py
@@ -1,4 +1,4 @@
-"""The ``trace`` command: a request's way through the logs of all hosts."""
+"""The ``trace`` command: prints the log lines of one request from all hosts."""
 
 import argparse
 import json
@@ -9,8 +9,8 @@
 
 from .exit_codes import ExitCode
 
-# Events that change what all requests meet; printed as far as they overlap.
-SHARED_EVENTS = frozenset(
+# Events that affect all requests; printed if they occurred during the request.
+GLOBAL_EVENTS = frozenset(
     {
         "process_started",
         "process_stopping",
@@ -23,39 +23,42 @@
         "lines_dropped",
     }
 )
-# Printed first; the rest follows in the order of the line.
-LEADING = ("time", "host", "event")
-HIDDEN = frozenset({"number", "level", "request_id", *LEADING})
+# Printed first; the other fields follow in the order of the log line.
+LEADING_FIELDS = ("time", "host", "event")
+HIDDEN_FIELDS = frozenset({"number", "level", "request_id", *LEADING_FIELDS})
 
 
-class Line(NamedTuple):
-    """One log line."""
+class LogLine(NamedTuple):
+    """One log line.
+
+    :param time: time stamp as an ISO 8601 text
+    """
 
     time: str
     fields: dict[str, Any]
 
 
 def trace(arguments: argparse.Namespace) -> ExitCode:
-    """Print what the logs say of one request, in order of time."""
-    lines: list[Line] = []
+    """Print the log lines of one request, in order of time."""
+    lines: list[LogLine] = []
     for name in arguments.log:
         try:
             text = Path(name).read_text(encoding="utf-8", errors="replace")
         except OSError as error:
             sys.stderr.write(f"{name}: {error.strerror}\n")
             return ExitCode.BAD_INPUT
-        lines += read_lines(text.splitlines())
-    found = select(lines, arguments.request)
+        lines += parse_lines(text.splitlines())
+    found = select_lines(lines, arguments.request)
     if not found:
         sys.stderr.write(f"no line names {arguments.request}\n")
         return ExitCode.BAD_INPUT
     for line in found:
-        sys.stdout.write(render(line) + "\n")
+        sys.stdout.write(format_line(line) + "\n")
     return ExitCode.OK
 
 
-def read_lines(texts: Iterable[str]) -> Iterator[Line]:
-    """Yield the events among lines of text; a collector's prefix is skipped."""
+def parse_lines(texts: Iterable[str]) -> Iterator[LogLine]:
+    """Yield the lines that contain an event; prefixes of log collectors are skipped."""
     for text in texts:
         start = text.find('{"time"')
         if start < 0:
@@ -65,13 +68,17 @@
         except json.JSONDecodeError:
             continue
         if isinstance(fields, dict):
-            yield Line(str(fields.get("time", "")), fields)
+            yield LogLine(str(fields.get("time", "")), fields)
+
 
+def select_lines(lines: Iterable[LogLine], request: str) -> list[LogLine]:
+    """Return the log lines that concern a request, in order of time.
 
-def select(lines: Iterable[Line], request: str) -> list[Line]:
-    """Return a request's lines, its workers' and what all requests met meanwhile."""
+    These are the lines with its id and, from the first to the last of them, lines
+    about its workers and events that affect all requests.
+    """
     ordered = sorted(lines, key=lambda line: line.time)
-    own = [line for line in ordered if _names(line, request)]
+    own = [line for line in ordered if _mentions_request(line, request)]
     if not own:
         return []
     first, last = own[0].time, own[-1].time
@@ -84,29 +91,29 @@
     return [
         line
         for line in ordered
-        if _names(line, request)
-        or (first <= line.time <= last and _concerns(line, workers))
+        if _mentions_request(line, request)
+        or (first <= line.time <= last and _affects_workers(line, workers))
     ]
 
 
-def render(line: Line) -> str:
-    """Return a line for people."""
+def format_line(line: LogLine) -> str:
+    """Return a log line in a form for display."""
     fields = line.fields
     rest = " ".join(
-        f"{name}={value}" for name, value in fields.items() if name not in HIDDEN
+        f"{name}={value}" for name, value in fields.items() if name not in HIDDEN_FIELDS
     )
     return f"{line.time[11:23]} {fields.get('host', '-')} {fields.get('event')} {rest}"
 
 
-def _names(line: Line, request: str) -> bool:
+def _mentions_request(line: LogLine, request: str) -> bool:
     if line.fields.get("request_id") == request:
         return True
     evicted = line.fields.get("evicted", ())
     return any(str(task).startswith(request + ".") for task in evicted)
 
 
-def _concerns(line: Line, workers: set[str]) -> bool:
-    if line.fields.get("event") in SHARED_EVENTS:
+def _affects_workers(line: LogLine, workers: set[str]) -> bool:
+    if line.fields.get("event") in GLOBAL_EVENTS:
         dependency = str(line.fields.get("dependency", ""))
         kind, _, name = dependency.partition(" ")
         return kind != "worker" or name in workers
--- a/libs/app/tests/test_trace_command.py
+++ b/libs/app/tests/test_trace_command.py
@@ -1,10 +1,10 @@
-"""A request's way is found among the lines of all hosts."""
+"""Log lines of a request are selected from the logs of all hosts."""
 
 import json
 
 from bilberryhitch.arguments import build_parser
 from bilberryhitch.main import execute
-from bilberryhitch.trace_command import read_lines, render, select
+from bilberryhitch.trace_command import format_line, parse_lines, select_lines
 
 
 def line(second, event, **fields):
@@ -27,8 +27,10 @@
 ]
 
 
-def test_a_request_is_shown_with_its_workers_and_evictions():
-    events = [each.fields["event"] for each in select(list(read_lines(LOG)), "aa")]
+def test_request_is_shown_with_its_workers_and_evictions():
+    events = [
+        each.fields["event"] for each in select_lines(list(parse_lines(LOG)), "aa")
+    ]
     assert events == [
         "job_submitted",
         "unit_started",
@@ -39,7 +41,7 @@
     ]
 
 
-def test_an_unknown_request_is_named(tmp_path, capsys):
+def test_unknown_request_is_reported(tmp_path, capsys):
     path = tmp_path / "log"
     path.write_text("\n".join(LOG))
     assert execute(["trace", "cc", "--log", str(path)]) != 0
@@ -48,7 +50,7 @@
     assert "job_ended state=failed" in capsys.readouterr().out
 
 
-def test_a_line_reads_as_time_host_event_and_fields():
-    (first, *_) = read_lines([LOG[1]])
-    assert render(first) == "00:00:02.000 h1 job_submitted outcome=done"
+def test_line_is_formatted_as_time_host_event_and_fields():
+    (first, *_) = parse_lines([LOG[1]])
+    assert format_line(first) == "00:00:02.000 h1 job_submitted outcome=done"
     assert build_parser().parse_args(["trace", "aa", "--log", "x"]).request == "aa"
