--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -107,7 +107,7 @@
         """Whether a job was accepted after the lease was last confirmed."""
         return self._newest_revision > self._confirmed_revision
 
-    def confirm(self, revision: int) -> None:
+    def confirm_lease(self, revision: int) -> None:
         """Record that the leader lease was held at a store revision.
 
         A later planner's lease has a higher revision, so that planner treats jobs
--- a/libs/planner/src/bilberryhitch_planner/state_writer.py
+++ b/libs/planner/src/bilberryhitch_planner/state_writer.py
@@ -301,7 +301,7 @@
             return
         finally:
             self._in_flight = False
-        self._planner.confirm(revision)
+        self._planner.confirm_lease(revision)
         self._planner.stored_roster = roster
         if renew:
             self._revision = revision
--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -90,9 +90,9 @@
     world.planner.add_job(job, fresh, 60, now=0.0, unix_s=START_UNIX_S)
     assert world.planner.has_unconfirmed_jobs
     assert world.plan_starts() == []
-    world.planner.confirm(59)
+    world.planner.confirm_lease(59)
     assert world.plan_starts() == []
-    world.planner.confirm(61)
+    world.planner.confirm_lease(61)
     assert not world.planner.has_unconfirmed_jobs
     assert len(world.plan_starts()) == 1
 
--- a/libs/testing/src/bilberryhitch_testing/planner_harness.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_harness.py
@@ -106,7 +106,7 @@
     ) -> None:
         """Accept a job."""
         progress = progress or JobProgress(JobState.PENDING, job.account, {})
-        self.planner.confirm(revision)
+        self.planner.confirm_lease(revision)
         self.planner.add_job(
             job, progress, revision, now=self.now, unix_s=START_UNIX_S + self.now
         )
--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -283,7 +283,7 @@
         return self.jobs[task.job].truths[task.step][task.ordinal]
 
     def _submit(self, job: Job, now: float) -> None:
-        self.planner.confirm(1)
+        self.planner.confirm_lease(1)
         progress = JobProgress(JobState.PENDING, job.request.account, {})
         self.planner.add_job(job.request, progress, 1, now=now, unix_s=UNIX_S + now)
 
--- a/tests/machines/world_point5_planner.py
+++ b/tests/machines/world_point5_planner.py
@@ -178,7 +178,7 @@
             self.progress[name] = holder.planner.jobs[name].progress()
         holder.planner.dirty = set()
         self.revision += 1
-        holder.planner.confirm(self.revision)
+        holder.planner.confirm_lease(self.revision)
         self.roster = holder.planner.stored_roster = frozenset(holder.planner.workers)
         holder.confirmed_at = self.now
         return True
