--- a/tests/fuzz.py
+++ b/tests/fuzz.py
@@ -22,7 +22,7 @@
 
 
 def fuzz_point(name: str, point: Point, seed: int, steps: int) -> bool:
-    """Run one machine and print its line; return whether the point held."""
+    """Run one machine, print its counts and return whether the point held."""
     histories = max(1, steps // STEPS_PER_HISTORY)
     violation = ""
     try:
--- a/tests/machines/harness.py
+++ b/tests/machines/harness.py
@@ -1,4 +1,4 @@
-"""Runs the stateful machines, with fixed seeds in CI or any seed when fuzzing."""
+"""Runs the state machines, with fixed seeds in CI and any seed when fuzzing."""
 
 from typing import NamedTuple
 
@@ -10,10 +10,10 @@
 
 
 class Counts:
-    """What a machine did; rules add to it.
+    """Counts of one machine's runs, updated by its rules.
 
-    :ivar steps: rules run
-    :ivar histories: machines started
+    :ivar steps: rules executed
+    :ivar histories: histories started
     :ivar faults: faults injected
     """
 
@@ -24,7 +24,7 @@
 
 
 class Point(NamedTuple):
-    """One promise of the design page with the machine that checks it."""
+    """A numbered guarantee of the design and the state machine that tests it."""
 
     number: int
     machine: type[RuleBasedStateMachine]
@@ -32,11 +32,11 @@
 
 
 def run_point(point: Point, *, seed_number: int, histories: int) -> None:
-    """Run a machine; an oracle's rejection propagates as ``AssertionError``.
+    """Run a machine; a violation propagates as ``AssertionError``.
 
-    :param histories: how many histories of ``STEPS_PER_HISTORY`` steps to run
+    :param histories: number of histories, each of ``STEPS_PER_HISTORY`` steps
     """
-    logger.remove()  # thousands of histories would write millions of lines
+    logger.remove()  # the histories would log millions of lines
     seed(seed_number)(point.machine)
     run_state_machine_as_test(
         point.machine,
--- a/tests/machines/test_point1_reclaim.py
+++ b/tests/machines/test_point1_reclaim.py
@@ -31,7 +31,7 @@
 
 HISTORIES = 100
 ACCOUNTS = ("a", "b", "c")
-# Racks as accelerators per worker; sizes as guarantees may ask for in each fleet.
+# Each fleet: accelerators per worker, by rack, and the sizes of its guarantees.
 FLEETS = (
     (((2,) * 6, (2,) * 6), (1, 2, 3, 4, 8, 12)),
     (((4,) * 4, (4,) * 2, (1,) * 3), (1, 2, 4, 8)),
@@ -59,7 +59,7 @@
 
 
 class ReclaimMachine(RuleBasedStateMachine):
-    """Drives a scheduler and shows the oracle all it decides."""
+    """Drives a scheduler and passes each of its decisions to the oracle."""
 
     counts = Counts()
 
@@ -131,7 +131,7 @@
     @precondition(lambda self: self.pool.guarantees)
     @rule(data=st.data(), whole=st.booleans(), extra=st.integers(-1, 1))
     def fill_guarantee(self, data, whole, extra):
-        """Use a guarantee fully, by large or small jobs, or nearly, or beyond."""
+        """Submit large or small jobs just under, up to or over a guarantee."""
         row = data.draw(st.sampled_from(self.pool.guarantees))
         tasks = row.accelerators if whole else 1
         for _ in range(row.cells * row.accelerators // tasks + extra):
@@ -161,22 +161,22 @@
     def decide(self, gap):
         self.now += gap
         before, bound = self.missing(), self.bound()
-        due = self.clearing_due()
+        confirmed = self.clearing_confirmed()
         decisions = self.scheduler.decide(self.now)
         for decision in decisions:
             self.record(decision)
         after = self.missing()
         for key, count in after.items():
-            assert count <= before.get(key, 0), f"{key} lost a cell to a decision"
-        for job_id in due:
-            assert self.stage(job_id) != "clearing", f"{job_id} waits a second time"
+            assert count <= before.get(key, 0), f"a decision lost a cell of {key}"
+        for job_id in confirmed:
+            assert self.stage(job_id) != "clearing", f"{job_id} waits again"
         self.oracle.check_grown(bound, self.bound())
         self.check_started()
-        self.note_clearing()
+        self.update_clearing()
 
     @rule()
     def decide_at_once(self):
-        """Most histories need several decisions to say anything."""
+        """Decide often: most faults show only after several decisions."""
         self.decide(0.0)
 
     def record(self, decision):
@@ -205,11 +205,11 @@
         self.placed[row.job_id] = (decision.placement, decision.borrowed)
         self.scheduler.started(row.job_id, self.now)
 
-    def clearing_due(self):
-        """Jobs for which all evictions decided in one ``decide`` were confirmed."""
+    def clearing_confirmed(self):
+        """Return the clearing jobs whose evictions have all been confirmed."""
         return [j for j, waits in self.clearing.items() if not waits]
 
-    def note_clearing(self):
+    def update_clearing(self):
         stages = {job_id: self.stage(job_id) for job_id in self.jobs}
         waiting = self.evicted_jobs()
         self.clearing = {
@@ -218,12 +218,12 @@
             if stage == "clearing"
         }
 
-    def answered(self, job_id):
+    def eviction_confirmed(self, job_id):
         for waits in self.clearing.values():
             waits.discard(job_id)
 
     def check_started(self):
-        """A queued job must not fit a cell that its account's guarantee keeps."""
+        """Check that no queued job fits a free cell of its account's guarantee."""
         bound = self.bound()
         left = self.oracle.unbound(bound)
         for key, count in self.oracle.missing(bound).items():
@@ -253,7 +253,7 @@
         job_id = self.pick(data, self.running())
         self.scheduler.finished(job_id, self.now)
         self.oracle.end(job_id)
-        self.answered(job_id)
+        self.eviction_confirmed(job_id)
         del self.jobs[job_id]
 
     @precondition(lambda self: self.evicted_jobs())
@@ -263,7 +263,7 @@
         for job_id in waiting if all_of_them else [self.pick(data, waiting)]:
             self.scheduler.evicted(job_id, self.now)
             self.oracle.end(job_id)
-            self.answered(job_id)
+            self.eviction_confirmed(job_id)
 
     @precondition(lambda self: self.running())
     @rule(data=st.data())
@@ -272,7 +272,7 @@
         job_id = self.pick(data, self.running())
         self.scheduler.start_failed(job_id, "w0-0", self.now)
         self.oracle.end(job_id)
-        self.answered(job_id)
+        self.eviction_confirmed(job_id)
 
     @precondition(lambda self: self.jobs)
     @rule(data=st.data())
@@ -319,7 +319,7 @@
     @precondition(lambda self: self.pool.guarantees)
     @rule(data=st.data(), to=st.sampled_from(ACCOUNTS), cells=st.integers(0, 2))
     def change_guarantee(self, data, to, cells):
-        """Shrink or grow a guarantee, and move one to another account."""
+        """Resize a guarantee or move it to another account."""
         rows = list(self.pool.guarantees)
         index = data.draw(st.integers(0, len(rows) - 1))
         owner = rows[index].client_account
@@ -339,7 +339,7 @@
 
     @rule()
     def take_over(self):
-        """A new planner knows the job rows and the hosts, not the evictions."""
+        """Replace the scheduler by one that knows jobs and hosts, but no evictions."""
         placed = {job_id: self.placed[job_id] for job_id in self.running()}
         before = sum(self.missing().values())
         self.scheduler = self.make_scheduler()
@@ -373,13 +373,13 @@
         if any(
             self.stage(job_id) == "clearing" for job_id in self.jobs.keys() - inside
         ):
-            return  # the oracle does not see which place such a job keeps
-        told, true = self.missing(), self.oracle.missing(bound)
-        assert told == true, f"shortfall told {told}, true {true}"
+            return  # the oracle cannot see which cell such a job reserves
+        reported, expected = self.missing(), self.oracle.missing(bound)
+        assert reported == expected, f"shortfall {reported}, expected {expected}"
 
 
 def run_without_shrinking(histories):
-    """Find a violation; how short its history is does not matter here."""
+    """Search for a violation; the failing history need not be minimal."""
     options = settings(
         max_examples=histories,
         stateful_step_count=STEPS_PER_HISTORY,
@@ -397,10 +397,11 @@
 
 
 def test_point_holds():
+    """Guards against guaranteed cells that borrowers or other accounts block."""
     run_point(POINT, seed_number=1, histories=HISTORIES)
 
 
-def first_rows_give_up(self, need, short):
+def reduce_first_rows(self, need, short):
     missing = {}
     for key in need.rows:
         given = min(short, self.unbound_count(key))
@@ -410,7 +411,7 @@
     return missing
 
 
-def preempt_anything(pool_state, shape, now):
+def preempt_any_job(pool_state, shape, now):
     left = preemption.count_obtainable(
         pool_state, lambda owner: owner.stage != "clearing"
     )
@@ -421,28 +422,28 @@
                 yield members
 
 
-WITHOUT = {
-    "check of firm work beside guarantees": (
+REMOVED_MECHANISMS = {
+    "check of protected jobs against guarantees": (
         Allocator,
         "keeps_guarantees",
         lambda self, members: True,
     ),
     "waiting for evictions": (allocator, "victims", lambda *args: {}),
-    "protection of guaranteed work": (
+    "protection of guaranteed jobs": (
         allocator,
         "preempting_placements",
-        preempt_anything,
+        preempt_any_job,
     ),
-    "refusal to lend to firm work": (
+    "no lending to jobs that may not borrow": (
         Allocator,
         "requires_protection",
         lambda self, job: False,
     ),
     "exclusion of lost hosts": (PoolState, "set_unusable", lambda self, *args: None),
-    "table order of the reduction": (
+    "table order of the shortfall": (
         GuaranteedCells,
         "_missing_by_key",
-        first_rows_give_up,
+        reduce_first_rows,
     ),
     "binding at takeover": (AdoptedJobs, "bind_cells", lambda self: []),
     "end of a shrunk guarantee": (
@@ -456,63 +457,63 @@
 }
 
 
-@pytest.mark.parametrize("mechanism", WITHOUT)
-def test_removed_mechanism_is_noticed(mechanism, monkeypatch):
-    """Guards against a machine that passes whatever the scheduler does."""
-    monkeypatch.setattr(*WITHOUT[mechanism])
+@pytest.mark.parametrize("mechanism", REMOVED_MECHANISMS)
+def test_removed_mechanism_is_detected(mechanism, monkeypatch):
+    """Guards against a machine that can't detect a faulty scheduler."""
+    monkeypatch.setattr(*REMOVED_MECHANISMS[mechanism])
     with pytest.raises(AssertionError):
         run_without_shrinking(histories=200)
 
 
-def oracle(*rows):
-    found = ReclaimOracle([(f"w{n}", "r", n, 2) for n in range(4)])
-    found.rows = list(rows)
-    return found
+def make_oracle(*rows):
+    oracle = ReclaimOracle([(f"w{n}", "r", n, 2) for n in range(4)])
+    oracle.rows = list(rows)
+    return oracle
 
 
-def begin(found, job_id, account, *places, borrowed=False, per_task=1):
+def start_job(oracle, job_id, account, *places, borrowed=False, per_task=1):
     shape = (len(places) // per_task, per_task)
     options = {"borrowed": borrowed, "may_borrow": borrowed}
-    found.start(job_id, account, shape=shape, accelerators=places, **options)
+    oracle.start(job_id, account, shape=shape, accelerators=places, **options)
 
 
-def test_oracle_rejects_an_accelerator_given_twice():
-    found = oracle()
-    begin(found, "j1", "a", ("w0", 0))
+def test_oracle_rejects_an_accelerator_allocated_twice():
+    oracle = make_oracle()
+    start_job(oracle, "j1", "a", ("w0", 0))
     with pytest.raises(AssertionError, match="accelerators of j1"):
-        begin(found, "j2", "b", ("w0", 0))
+        start_job(oracle, "j2", "b", ("w0", 0))
 
 
 def test_oracle_rejects_a_gang_across_aligned_cells():
-    found = oracle()
+    oracle = make_oracle()
     with pytest.raises(AssertionError, match="not adjacent"):
-        begin(found, "j1", "a", ("w0", 1), ("w1", 0), per_task=1)
+        start_job(oracle, "j1", "a", ("w0", 1), ("w1", 0), per_task=1)
 
 
-def test_oracle_rejects_the_eviction_of_guaranteed_work():
-    found = oracle(("a", 2, 1))
-    begin(found, "j1", "a", ("w0", 0))
+def test_oracle_rejects_the_eviction_of_a_guaranteed_job():
+    oracle = make_oracle(("a", 2, 1))
+    start_job(oracle, "j1", "a", ("w0", 0))
     with pytest.raises(AssertionError, match="did not borrow"):
-        found.evict("j1")
+        oracle.evict("j1")
 
 
-def test_oracle_counts_a_guarantee_that_firm_work_made_impossible():
-    found = oracle(("a", 8, 1), ("b", 2, 1))
-    begin(found, "j1", "c", ("w0", 0))
-    assert found.missing([]) == {("a", 8): 1}
+def test_oracle_counts_a_guarantee_blocked_by_protected_jobs():
+    oracle = make_oracle(("a", 8, 1), ("b", 2, 1))
+    start_job(oracle, "j1", "c", ("w0", 0))
+    assert oracle.missing([]) == {("a", 8): 1}
 
 
-def test_oracle_rejects_foreign_work_in_a_bound_cell():
-    found = oracle(("a", 2, 1))
-    begin(found, "j1", "b", ("w0", 0))
+def test_oracle_rejects_a_job_of_another_account_in_a_bound_cell():
+    oracle = make_oracle(("a", 2, 1))
+    start_job(oracle, "j1", "b", ("w0", 0))
     with pytest.raises(AssertionError, match="holds a cell"):
-        found.check_bound([("a", 2, [("w0", 0), ("w0", 1)], ["j2"])])
+        oracle.check_bound([("a", 2, [("w0", 0), ("w0", 1)], ["j2"])])
 
 
-def test_oracle_rejects_new_work_in_a_cell_that_was_taken_away():
-    found = oracle()
+def test_oracle_rejects_a_new_job_in_a_cell_of_a_removed_guarantee():
+    oracle = make_oracle()
     cell = [("w0", 0), ("w0", 1)]
-    begin(found, "j1", "a", cell[0])
-    begin(found, "j2", "a", cell[1])
+    start_job(oracle, "j1", "a", cell[0])
+    start_job(oracle, "j2", "a", cell[1])
     with pytest.raises(AssertionError, match="grew"):
-        found.check_grown([("a", 2, cell, ["j1"])], [("a", 2, cell, ["j1", "j2"])])
+        oracle.check_grown([("a", 2, cell, ["j1"])], [("a", 2, cell, ["j1", "j2"])])
--- a/tests/machines/test_point3_answers.py
+++ b/tests/machines/test_point3_answers.py
@@ -35,7 +35,7 @@
         (forwarding, "_forward_result", trust_any_reply),
     ],
 )
-def test_removed_mechanism_is_noticed(monkeypatch, module, name, removed):
+def test_removed_mechanism_is_detected(monkeypatch, module, name, removed):
     # Guards against a machine that cannot see the violation.
     monkeypatch.setattr(module, name, removed)
     with pytest.raises(AssertionError):
--- a/tests/machines/test_point4_not_run.py
+++ b/tests/machines/test_point4_not_run.py
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("mechanism", REMOVED)
-def test_removed_mechanism_is_noticed(monkeypatch, mechanism):
+def test_removed_mechanism_is_detected(monkeypatch, mechanism):
     # Guards against a machine that cannot see the violation.
     for target, name, removed in REMOVED[mechanism]:
         monkeypatch.setattr(target, name, removed)
--- a/tests/machines/test_point5_requests.py
+++ b/tests/machines/test_point5_requests.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("mechanism", REMOVED)
-def test_removed_mechanism_is_noticed(monkeypatch, mechanism):
+def test_removed_mechanism_is_detected(monkeypatch, mechanism):
     # Guards against a machine that cannot see the violation.
     monkeypatch.setattr(*REMOVED[mechanism])
     with pytest.raises(AssertionError):
