--- a/features/steps/point5_jobs_steps.py
+++ b/features/steps/point5_jobs_steps.py
@@ -4,7 +4,7 @@
 from bilberryhitch_model.errors import NotRun
 
 from tests.machines.oracle_point5_jobs import check_jobs
-from tests.machines.rules_point2_gangs import facts, not_run_callers
+from tests.machines.rules_point2_gangs import job_facts, not_run_callers
 from tests.machines.world_point2_gangs import World
 
 
@@ -73,7 +73,7 @@
 def at_most_once(context):
     world = context.world
     assert any(event.kind == "start" for event in world.events())
-    check_jobs(facts(world), world.events(), not_run_callers(world), {})
+    check_jobs(job_facts(world), world.events(), not_run_callers(world), {})
 
 
 @then("the billed job is reported as cancelled before any task started")
--- a/tests/machines/first_fit_point2_gangs.py
+++ b/tests/machines/first_fit_point2_gangs.py
@@ -1,4 +1,4 @@
-"""A first-fit scheduler without sharing rules, in place of the real one."""
+"""First-fit scheduler without guarantees or sharing; stands in for PoolScheduler."""
 
 from bilberryhitch_model import (
     Evict,
@@ -13,15 +13,15 @@
 from expression import Ok
 
 
-class FirstFit:
-    """Places jobs in the order they came on the first hosts with room.
+class FirstFitScheduler:
+    """Places jobs in order of submission on the first hosts with free accelerators.
 
-    :ivar to_evict: job ids that the next decision evicts
+    :ivar to_evict: ids of the jobs that the next ``decide`` evicts
     """
 
     def __init__(self, data_centre, pool: Pool, hosts):
         self._hosts: dict[str, Host] = {host.name: host for host in hosts}
-        self._out: set[str] = set()
+        self._unavailable: set[str] = set()
         self._queue: dict[str, QueuedJob] = {}
         self._placed: dict[str, tuple[QueuedJob, Placement]] = {}
         self.to_evict: list[str] = []
@@ -67,17 +67,17 @@
         self._queue[job_id] = job
 
     def host_lost(self, host):
-        self._out.add(host)
+        self._unavailable.add(host)
 
     def host_back(self, host):
         self._hosts[host.name] = host
-        self._out.discard(host.name)
+        self._unavailable.discard(host.name)
 
     def quarantine(self, host):
-        self._out.add(f"quarantine {host}")
+        self._unavailable.add(f"quarantine {host}")
 
     def release(self, host):
-        self._out.discard(f"quarantine {host}")
+        self._unavailable.discard(f"quarantine {host}")
 
     def set_pool(self, pool):
         pass
@@ -86,17 +86,17 @@
         return Explanation(job_id, "queued", "first-fit", "")
 
     def _place(self, job):
-        left, members = job.shape.tasks, []
+        remaining, members = job.shape.tasks, []
         for name in sorted(self._hosts):
-            if {name, f"quarantine {name}"} & self._out or not left:
+            if {name, f"quarantine {name}"} & self._unavailable or not remaining:
                 continue
             free = self._free(name)
-            tasks = min(left, len(free) // job.shape.accelerators)
+            tasks = min(remaining, len(free) // job.shape.accelerators)
             if tasks:
                 used = tuple(free[: tasks * job.shape.accelerators])
                 members.append(Member(name, used, tasks))
-                left -= tasks
-        return None if left else Placement(tuple(members))
+                remaining -= tasks
+        return None if remaining else Placement(tuple(members))
 
     def _free(self, name):
         taken = {
--- a/tests/machines/oracle_point2_gangs.py
+++ b/tests/machines/oracle_point2_gangs.py
@@ -1,8 +1,8 @@
-"""Judges worker histories: no gang runs partially for longer than the bound."""
+"""Oracle for point 2: no gang runs partially for longer than the bound."""
 
 from collections import defaultdict
 
-# One lease term and one request time-out, from the design page, section 6.2.
+# One lease term plus one request time-out (design page, section 6.2).
 BOUND_S = 11.0
 ROUNDING_S = 0.001
 
@@ -10,9 +10,9 @@
 def check_gangs(events, accelerators, now):
     """Raise AssertionError for a gang that ran partially for too long.
 
-    :param events: worker events in order of time
+    :param events: worker events, ordered by time
     :param accelerators: accelerators of the whole gang, by job id
-    :param now: time at which the histories end, in seconds
+    :param now: time at which the history ends, in seconds
     """
     attempts = defaultdict(list)
     for event in events:
@@ -23,28 +23,28 @@
             _check_attempt(attempt_id, history, accelerators[job_id], now)
 
 
-def _check_attempt(attempt_id, history, wanted, now):
-    running, done = {}, {}
+def _check_attempt(attempt_id, history, required, now):
+    running, finished = {}, {}
     partial_since = None
     for event in history:
         if event.kind == "start":
             running[event.host] = event.accelerators
         elif event.kind == "finish":
-            done[event.host] = running.pop(event.host)
+            finished[event.host] = running.pop(event.host)
         elif event.kind in ("fail", "stop", "lapse", "lost"):
             running.pop(event.host, None)
-        have = sum(running.values()) + sum(done.values())
-        partial = bool(running) and have < wanted
+        active = sum(running.values()) + sum(finished.values())
+        partial = bool(running) and active < required
         if partial and partial_since is None:
             partial_since = event.at
         elif not partial and partial_since is not None:
-            _check_length(attempt_id, partial_since, event.at)
+            _check_duration(attempt_id, partial_since, event.at)
             partial_since = None
     if partial_since is not None:
-        _check_length(attempt_id, partial_since, now)
+        _check_duration(attempt_id, partial_since, now)
 
 
-def _check_length(attempt_id, since, until):
+def _check_duration(attempt_id, since, until):
     assert until - since <= BOUND_S + ROUNDING_S, (
         f"{attempt_id} ran partially from {since:.3f} to {until:.3f} s"
     )
--- a/tests/machines/rules_point2_gangs.py
+++ b/tests/machines/rules_point2_gangs.py
@@ -1,4 +1,4 @@
-"""Rules shared by the machines about jobs: calls, time and faults."""
+"""Rules shared by the state machines for jobs: calls, time and faults."""
 
 from bilberryhitch_model.errors import NotRun
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 
 
 class GangRules(RuleBasedStateMachine):
-    """Two entry hosts and three workers under jobs, cancellations and faults."""
+    """Submits and cancels jobs on two entry hosts and three workers, with faults."""
 
     counts = Counts()
     world_class = World
@@ -38,12 +38,12 @@
     def submit(self, *, route, tasks, accelerators, seconds, fail, settle_s):
         call = self.world.call(route, tasks, accelerators, seconds, fail=fail)
         for name in "ab":
-            if not self.world.told.get(call.caller):
+            if not self.world.answers.get(call.caller):
                 self._accept(call, name)
         self.world.advance(settle_s)
 
     def submit_one(self, route, seconds, *, tasks=1, settle_s=0.0):
-        """Submit as the rule does, for histories written by hand."""
+        """Submit with defaults, for hand-written histories."""
         self.submit(
             route=route,
             tasks=tasks,
@@ -54,7 +54,7 @@
         )
 
     def advance_to(self, kind):
-        """Run until a worker has seen an event of the kind."""
+        """Advance until a worker has recorded an event of this kind."""
         while not any(event.kind == kind for event in self.world.events()):
             self.world.advance(0.001)
 
@@ -113,12 +113,12 @@
 
     @rule(process=processes)
     def kill(self, process):
-        self._fault()
+        self._inject_fault()
         self.world.processes[process].kill()
 
     @rule(process=processes, steps=st.integers(1, 12))
     def kill_after_steps(self, process, steps):
-        self._fault()
+        self._inject_fault()
         target = self.world.processes[process]
         target.at_step(steps, target.kill)
 
@@ -129,7 +129,7 @@
 
     @rule(process=processes, pause=st.booleans())
     def pause_process(self, process, pause):
-        self._fault()
+        self._inject_fault()
         tables = self.world.processes[process].tables
         if pause:
             tables.pause()
@@ -138,23 +138,23 @@
 
     @rule(process=processes, down=st.booleans(), slow_s=st.sampled_from([0.0, 0.4]))
     def store(self, process, down, slow_s):
-        self._fault()
+        self._inject_fault()
         tables = self.world.processes[process].tables
         tables.down, tables.slow_s = down, slow_s
 
     @rule(process=processes, answers=st.integers(1, 4))
     def lose_store_answers(self, process, answers):
-        self._fault()
+        self._inject_fault()
         self.world.processes[process].tables.lose_answers = answers
 
     @rule(process=processes, worker=workers)
     def cut(self, process, worker):
-        self._fault()
+        self._inject_fault()
         self.world.processes[process].cut ^= {worker}
 
     @rule(worker=workers, starts=st.booleans())
     def refuse_or_fail(self, worker, starts):
-        self._fault()
+        self._inject_fault()
         model = self.world.workers[worker].model
         if starts:
             model.refuse_starts = not model.refuse_starts
@@ -163,18 +163,18 @@
 
     @rule(worker=workers, lost=st.integers(0, 2), late=st.integers(0, 1))
     def lose_worker_answers(self, worker, lost, late):
-        self._fault()
+        self._inject_fault()
         self.world.workers[worker].lose_answers = lost
         self.world.workers[worker].late_starts = late
 
     @rule(worker=workers)
     def pause_worker(self, worker):
-        self._fault()
+        self._inject_fault()
         self.world.workers[worker].paused ^= True
 
     @rule(worker=workers)
     def restart_worker(self, worker):
-        self._fault()
+        self._inject_fault()
         self.world.workers[worker].model.restart()
 
     @rule(worker=workers, ignore=st.booleans())
@@ -204,10 +204,10 @@
     def check(self):
         raise NotImplementedError
 
-    def _fault(self):
-        """Count a fault; every third one follows the end of those before.
+    def _inject_fault(self):
+        """Count a fault; every third one first ends all earlier faults.
 
-        Without this most of a history passes with nothing able to run.
+        Otherwise faults pile up and no job can run for most of a history.
         """
         self.counts.faults += 1
         self.faults += 1
@@ -217,15 +217,15 @@
 
 
 def accelerators_by_job(world):
-    """Accelerators of the whole gang, by job id."""
+    """Return the number of accelerators of each whole gang, by job id."""
     return {
         job_id: record.shape.tasks * record.shape.accelerators
         for job_id, record in world.records().items()
     }
 
 
-def facts(world):
-    """What the store holds of each job, for the oracle."""
+def job_facts(world):
+    """Return the stored state of each job, for the oracle."""
     return {
         job_id: JobFacts(
             record.caller,
@@ -240,9 +240,9 @@
 
 
 def not_run_callers(world):
-    """Callers that were only ever told that nothing was run."""
+    """Return the callers whose every answer was ``NotRun``."""
     return {
         caller
-        for caller, answers in world.told.items()
+        for caller, answers in world.answers.items()
         if all(each.is_error() and isinstance(each.error, NotRun) for each in answers)
     }
--- a/tests/machines/test_point2_gangs.py
+++ b/tests/machines/test_point2_gangs.py
@@ -12,7 +12,7 @@
 
 
 class GangMachine(GangRules):
-    """Histories of jobs judged by what the workers saw."""
+    """Checks that no gang ran partially, from the events at the workers."""
 
     counts = Counts()
 
@@ -25,11 +25,12 @@
 
 
 def test_point_holds():
+    """Guards against a gang that keeps running after it has lost a member."""
     run_point(POINT, seed_number=1, histories=15)
 
 
 def planner_killed_before_it_sees_a_loss(machine):
-    """A worker restarts unseen; the planner ends just after it renewed."""
+    """A worker restarts unnoticed; the planner is killed just after a renewal."""
     machine.submit_one("any", 40.0, tasks=3, settle_s=4.0)
     (holder,) = machine.world.holders()
     for process in machine.world.processes.values():
@@ -42,7 +43,7 @@
 
 
 def planner_cannot_stop_the_rest(machine):
-    """A start is refused while the stop of the others does not arrive."""
+    """A start is refused and the stop of another member does not arrive."""
     machine.submit_one("any", 40.0, tasks=3)
     machine.advance_to("reserve")
     machine.refuse_or_fail("w1", True)
@@ -61,16 +62,16 @@
     machine.advance(3.0)
 
 
-def always_renewed(gang, now):
+def full_term_while_running(gang, now):
     return LEASE_TERM_S if gang.running else 0.0
 
 
-def always_due(link, now):
+def renew_all_gangs(link, now):
     gangs = link._context.gangs_on(link._host.name)
     return [(gang, LEASE_TERM_S) for gang in gangs]
 
 
-async def start_and_hope(context, gang):
+async def start_ignoring_errors(context, gang):
     for state in gang.members.values():
         try:
             await gang_start._start(context, gang, state)
@@ -79,14 +80,14 @@
 
 
 ABLATIONS = {
-    "term counted from the last sighting": (
-        [(Gang, "term_s", always_renewed)],
+    "lease term counted from the last contact": (
+        [(Gang, "term_s", full_term_while_running)],
         planner_killed_before_it_sees_a_loss,
     ),
-    "undo of a refused start": (
+    "stop of the gang after a refused start": (
         [
-            ("bilberryhitch_gangs.gang_run.start_all", start_and_hope),
-            (LeaseRenewer, "_due", always_due),
+            ("bilberryhitch_gangs.gang_run.start_all", start_ignoring_errors),
+            (LeaseRenewer, "_due", renew_all_gangs),
         ],
         start_refused,
     ),
@@ -100,6 +101,7 @@
 
 @pytest.mark.parametrize("history", HISTORIES)
 def test_history_keeps_the_bound(history):
+    """Guards against a known fault sequence that breaks the bound."""
     machine = GangMachine()
     history(machine)
     machine.teardown()
@@ -107,6 +109,7 @@
 
 @pytest.mark.parametrize("name", ABLATIONS)
 def test_mechanism_is_needed(name, monkeypatch):
+    """Guards against a machine that can't detect a missing mechanism."""
     patches, history = ABLATIONS[name]
     for patch in patches:
         monkeypatch.setattr(*patch)
@@ -145,7 +148,7 @@
         check_gangs(BROKEN[name], {"j": 4}, now=100.0)
 
 
-def test_oracle_accepts_members_that_finish_apart():
+def test_oracle_accepts_members_that_finish_at_different_times():
     events = [
         event(0, "start", "w0"),
         event(5, "start", "w1"),
--- a/tests/machines/test_point5_jobs.py
+++ b/tests/machines/test_point5_jobs.py
@@ -14,7 +14,7 @@
 from .rules_point2_gangs import (
     GangRules,
     accelerators_by_job,
-    facts,
+    job_facts,
     not_run_callers,
 )
 from .world_point2_gangs import World
@@ -34,7 +34,7 @@
         job_id: (record.status, record.detail)
         for job_id, record in world.cancelled.items()
     }
-    check_jobs(facts(world), world.events(), not_run_callers(world), answers)
+    check_jobs(job_facts(world), world.events(), not_run_callers(world), answers)
 
 
 POINT = Point(5, JobMachine, JobMachine.counts)
--- a/tests/machines/world_point2_gangs.py
+++ b/tests/machines/world_point2_gangs.py
@@ -1,4 +1,4 @@
-"""Planners, job services and workers in one process, with fault switches."""
+"""Simulates planners, job services and workers in one process, with faults."""
 
 import asyncio
 import itertools
@@ -30,15 +30,15 @@
 from bilberryhitch_testing import FaultyTables, VirtualTimeLoop
 from expression import Error
 
-from .first_fit_point2_gangs import FirstFit
+from .first_fit_point2_gangs import FirstFitScheduler
 
 CENTRE, POOL = "ruwi", "gpu"
 LATENCY_S = 0.002
-LATE_S = 2.5
+LATE_START_DELAY_S = 2.5
 
 
 class Worker:
-    """A worker model with faults of its connection."""
+    """A worker model and the faults of its connection."""
 
     def __init__(self, host, loop, saved):
         self.host = host
@@ -55,7 +55,7 @@
 
 
 class WatchedTables(FaultyTables):
-    """Counts the steps of its process around every transaction."""
+    """Marks a step of the process before and after each transaction."""
 
     def __init__(self, inner, process):
         super().__init__(inner)
@@ -71,7 +71,9 @@
 class Process:
     """One entry host: store view, worker client, planner and job service.
 
-    Killing it stops everything at once without a hand-over.
+    Killing it stops everything at once, without releasing the planner's lease.
+
+    :ivar cut: workers that it cannot reach
     """
 
     def __init__(self, world, name):
@@ -79,7 +81,7 @@
         self.name = name
         self.cut = set()
         self.steps_left = 0
-        self.then = None
+        self.step_callback = None
         self.runs = itertools.count(1)
         self.tables = WatchedTables(world.store, self)
         self.planner = None
@@ -114,21 +116,21 @@
             self.task.cancel()
             self.planner = None
 
-    def at_step(self, steps, then):
-        """Call ``then`` before the step after ``steps`` others."""
-        self.steps_left, self.then = steps, then
+    def at_step(self, steps, callback):
+        """Call ``callback`` at the step number ``steps`` from now."""
+        self.steps_left, self.step_callback = steps, callback
 
     async def step(self):
-        """Mark a point between two steps of the process's work."""
+        """Mark a point at which the process can be interrupted or killed."""
         self.steps_left -= 1
-        if self.then is not None and self.steps_left <= 0:
-            then, self.then = self.then, None
-            then()
+        if self.step_callback is not None and self.steps_left <= 0:
+            callback, self.step_callback = self.step_callback, None
+            callback()
         if not self.alive:
             await asyncio.Event().wait()
 
     def make_scheduler(self, *arguments):
-        self.scheduler = FirstFit(*arguments)
+        self.scheduler = FirstFitScheduler(*arguments)
         return self.scheduler
 
     # LocalPlanners and PeerChannel of the job service
@@ -158,7 +160,9 @@
         worker = self.world.workers[host.name]
         if worker.late_starts > 0:
             worker.late_starts -= 1
-            self.world.loop.call_later(LATE_S, self._late, worker, act)
+            self.world.loop.call_later(
+                LATE_START_DELAY_S, self._deliver_late, worker, act
+            )
             act = None
         return await self._lease(host, act)
 
@@ -180,7 +184,7 @@
         return self._view(await self._call(host, lambda m: m.state()))
 
     @staticmethod
-    def _late(worker, act):
+    def _deliver_late(worker, act):
         with suppress(StaleToken, WorkerRefused):
             act(worker.model)
 
@@ -193,7 +197,7 @@
         return LeaseView(*await self._call(host, act))
 
     async def _call(self, host, act):
-        """Carry out a call; without ``act`` it does not arrive in time."""
+        """Make a call; without ``act`` it does not arrive before the time-out."""
         worker = self.world.workers[host.name]
         self.world.calls += 1
         await self.step()
@@ -227,8 +231,8 @@
     """Entry hosts ``a``, ``b``, ``c`` and workers of one pool.
 
     :ivar calls: calls to workers so far
-    :ivar told: caller's name to the answers it was given
-    :ivar cancelled: records that answered cancellations, by job id
+    :ivar answers: answers given to each caller, by its name
+    :ivar cancelled: records returned by cancellations, by job id
     """
 
     planner_class = Planner
@@ -237,7 +241,7 @@
         self.loop = VirtualTimeLoop()
         self.store = MemoryTables()
         self.calls = 0
-        self.told = {}
+        self.answers = {}
         self.cancelled = {}
         self._calls = set()
         self._ids = itertools.count(1)
@@ -304,9 +308,9 @@
         return JobCall("acme", caller, route, shape, run, **fields)
 
     def submit(self, call, through="a"):
-        """Accept a job and note what the caller was told."""
+        """Accept a job and return the answer to its caller."""
         self.run(self.accept(call, through))
-        return self.told[call.caller][-1]
+        return self.answers[call.caller][-1]
 
     def spawn(self, work):
         """Run a caller's call in the background."""
@@ -315,30 +319,30 @@
         task.add_done_callback(self._calls.discard)
 
     async def accept(self, call, through):
-        """Accept a job; a caller that gets no answer is told nothing."""
-        answers = self.told.setdefault(call.caller, [])
+        """Accept a job; until there is an answer, the outcome counts as unknown."""
+        answers = self.answers.setdefault(call.caller, [])
         answers.append(Error(OutcomeUnknown("", "no answer yet")))
         index = len(answers) - 1
         answers[index] = await self.processes[through].jobs.accept(call)
 
     async def cancel(self, job_id, through):
-        """Cancel a job and note its record as the caller was given it."""
+        """Cancel a job and keep the record that its caller received."""
         result = await self.processes[through].jobs.cancel(job_id)
         if result.is_ok():
             self.cancelled[job_id] = result.ok
 
     def holders(self):
-        """Names of the processes that plan now."""
+        """Return the names of the processes that hold the planner lease."""
         return [n for n, p in self.processes.items() if p.alive and p.planner.planning]
 
     def records(self):
-        """Every job row, by job id."""
+        """Return every job record, by job id."""
         page = self.run(self.store.scan("jobs/"))
         rows = [decode(JobRecord, row.value) for row in page.rows]
         return {record.job_id: record for record in rows}
 
     def events(self):
-        """Every event of every worker, in order of time."""
+        """Return the events of all workers, ordered by time."""
         lists = [worker.model.history for worker in self.workers.values()]
         return sorted(itertools.chain(*lists), key=lambda event: event.at)
 
@@ -347,7 +351,7 @@
         for worker in self.workers.values():
             worker.heal()
         for process in self.processes.values():
-            process.then = None
+            process.step_callback = None
             process.cut.clear()
             process.tables.down, process.tables.slow_s = False, 0.0
             process.tables.lose_answers = 0
@@ -356,7 +360,7 @@
                 process.boot()
 
     def drain(self, limit_s=3000):
-        """Run until every job is finished; returns those that are not."""
+        """Advance until every job is finished; return those that are not."""
         for _ in range(limit_s // 5):
             unfinished = {
                 job_id: record
@@ -369,7 +373,7 @@
         return unfinished
 
     def check_tasks(self):
-        """Raise what stopped a planner, if anything did."""
+        """Raise the error of a planner that failed, if any."""
         for process in self.processes.values():
             if process.alive and process.task.done():
                 process.task.result()
