--- a/tests/machines/oracle_point2_gangs.py
+++ b/tests/machines/oracle_point2_gangs.py
@@ -33,8 +33,8 @@
             finished[event.host] = running.pop(event.host)
         elif event.kind in ("fail", "stop", "lapse", "lost"):
             running.pop(event.host, None)
-        active = sum(running.values()) + sum(finished.values())
-        partial = bool(running) and active < required
+        total = sum(running.values()) + sum(finished.values())
+        partial = bool(running) and total < required
         if partial and partial_since is None:
             partial_since = event.at
         elif not partial and partial_since is not None:
--- a/tests/machines/oracle_point3_answers.py
+++ b/tests/machines/oracle_point3_answers.py
@@ -1,4 +1,4 @@
-"""Point 3: each caller receives the whole answer to its own request."""
+"""Oracle for point 3: each caller receives the whole answer to its own request."""
 
 
 def expected_answer(request):
@@ -6,9 +6,9 @@
 
 
 def check_answers(history):
-    """Reject a history in which a caller got anything but its own whole answer.
+    """Reject a completed request whose answer is not the caller's own and whole.
 
-    A caller may get no answer; only ``completed`` promises one.
+    With any status but ``completed`` a caller may receive no answer.
     """
     for event in history:
         if event["event"] != "answered" or event["status"] != "completed":
@@ -17,7 +17,7 @@
 
 
 def check_ran_before_answered(history):
-    """Reject an answer to a request that no executor had begun to run."""
+    """Reject a completed request that no executor had started before."""
     ran = set()
     for event in history:
         if event["event"] == "ran":
--- a/tests/machines/oracle_point4_not_run.py
+++ b/tests/machines/oracle_point4_not_run.py
@@ -1,20 +1,20 @@
-"""Point 4: when a caller is told that a request was not run, it was not run."""
+"""Oracle for point 4: a request that was answered with "not run" never ran."""
 
 
 def check_point4(history):
-    """Reject a run that only calls told "not run" could explain.
+    """Reject a run for which every earlier call was answered with "not run".
 
-    Calls with one idempotency key share a body; a run is explained by any call
-    that came before it and was not told "not run".
+    Calls with the same idempotency key have the same body; any earlier call
+    with another answer, or with none, accounts for a run.
     """
-    told = {
+    answered_not_run = {
         event["call"]
         for event in history
         if event["event"] == "answered" and event["status"] == "not_run"
     }
-    explained = set()
+    runnable = set()
     for event in history:
-        if event["event"] == "submitted" and event["call"] not in told:
-            explained.add(event["body"])
+        if event["event"] == "submitted" and event["call"] not in answered_not_run:
+            runnable.add(event["body"])
         if event["event"] == "ran":
-            assert event["body"] in explained, event
+            assert event["body"] in runnable, event
--- a/tests/machines/oracle_point5_requests.py
+++ b/tests/machines/oracle_point5_requests.py
@@ -1,10 +1,10 @@
-"""Point 5: a request marked as non-idempotent runs at most once."""
+"""Oracle for point 5: a non-idempotent request runs at most once."""
 
 from collections import Counter
 
 
 def check_point5(history):
-    """Reject a second run of a request, or of any call under its key."""
+    """Reject a second run of a request or of another call with its key."""
     once = {
         event["body"]
         for event in history
--- a/tests/machines/request_machine.py
+++ b/tests/machines/request_machine.py
@@ -1,4 +1,4 @@
-"""Rules that the machines of points 3, 4 and 5 share."""
+"""Rules shared by the state machines for requests (points 3, 4 and 5)."""
 
 from bilberryhitch_membership import owner
 from hypothesis import HealthCheck, Phase, seed, settings
@@ -13,19 +13,19 @@
 
 HOSTS = st.sampled_from(sorted(CENTRES))
 OWNER = owner("x1", ["e1", "e2", "e3"])
-PAIRS = st.sampled_from([("e1", "e2"), ("e2", "e3"), ("e1", "e3"), ("e1", "s1")])
+HOST_PAIRS = st.sampled_from([("e1", "e2"), ("e2", "e3"), ("e1", "e3"), ("e1", "s1")])
 EXECUTOR_FAULTS = st.sampled_from(
     ["refuse", "drop_before", "drop_after", "slow", "late", "crossed"]
     + ["truncated", "over_long", "duplicate"]
 )
 LINK_FAULTS = st.sampled_from(["duplicate", "delay", "lose_reply", "crossed"])
 KEYS = st.sampled_from(["a", "b"])
-# The first entry keeps calls frequent, as hypothesis draws it most when shrinking.
+# Shrinking prefers the first entry: 0 s keeps calls close together.
 PAUSES_S = st.sampled_from([0.0, 0.01, 0.3, 1.0, 2.5, 5.0])
 
 
 class RequestMachine(RuleBasedStateMachine):
-    """Callers, executors, links, the store and entry hosts, each with faults."""
+    """Sends requests, with faults of executors, links, the store and entry hosts."""
 
     counts = None
     oracle = None
@@ -68,7 +68,7 @@
         self.fault()
         self.world.link_faults.append(kind)
 
-    @rule(pair=PAIRS, cut=st.booleans())
+    @rule(pair=HOST_PAIRS, cut=st.booleans())
     def cut(self, pair, cut):
         self.fault()
         change = self.world.cuts.add if cut else self.world.cuts.discard
@@ -94,12 +94,12 @@
         then=st.sampled_from(["replace owner", "load owner", "wait"]),
     )
     def forward_over_broken_link(self, kind, host, then):
-        """Aim a link fault at a forward; unrelated rules seldom meet in time."""
+        """Forward a request over a faulty link; separate rules seldom combine so."""
         self.fault()
         self.world.link_faults.append(kind)
         self.world.submit(host, "once")
         self.world.advance(0.1)
-        if then == "load owner":  # a delayed forward then waits past its time-out
+        if then == "load owner":  # a delayed forward then exceeds its time-out
             self.world.advance(1.4)
             for _ in range(4):
                 self.world.submit(OWNER, "once")
@@ -125,19 +125,19 @@
     def ask_status(self, host):
         self.step()
         for handle in list(self.world.handles)[-2:]:
-            self.world.ask(host, handle)
+            self.world.request_status(host, handle)
 
     def teardown(self):
         try:
             type(self).oracle(self.world.finish())
             most = max(each.most_running for each in self.world.executors.values())
-            assert most <= 2, "an executor ran more than it has slots"
+            assert most <= 2, "an executor ran more requests than it has slots"
         finally:
             self.world.close()
 
 
 def search_violation(machine, *, seed_number, histories):
-    """Run a machine whose product lacks a mechanism; does not shrink what fails.
+    """Run a machine whose code under test lacks a mechanism, without shrinking.
 
     Shrinking takes minutes and the test needs only the ``AssertionError``.
     """
--- a/tests/machines/request_world.py
+++ b/tests/machines/request_world.py
@@ -1,4 +1,4 @@
-"""Entry hosts in process, with fake executors, a fake peer link and faults."""
+"""Simulates entry hosts in one process, with fake executors, links and faults."""
 
 import asyncio
 import random
@@ -27,10 +27,10 @@
 
 TIMEOUT_S = 2.0
 SLOTS = 2
-# Run times as shares of the time-out: "late" ends after the caller's time-out if
-# the request waited for its slot, and "slow" after that of the executor call.
-RUN_SHARES = {"late": 0.95, "slow": 1.3}
-LIMIT = 400
+# Run times as fractions of the time-out: a "late" run exceeds the caller's time-out
+# if the request waited for a slot, a "slow" run exceeds that of the executor call.
+RUN_TIME_FRACTIONS = {"late": 0.95, "slow": 1.3}
+ROUTE_MAX_BODY_BYTES = 400
 CENTRES = {"e1": "ruwi", "e2": "ruwi", "e3": "ruwi", "s1": "seeb"}
 EXECUTORS = [Host(n, "executor", d, n) for n, d in (("x1", "ruwi"), ("y1", "seeb"))]
 TABLES = Tables(
@@ -38,7 +38,8 @@
     {
         name: Route(
             name, "request", "k", "acme", "p",
-            idempotent=name == "twice", timeout_s=TIMEOUT_S, max_body_bytes=LIMIT,
+            idempotent=name == "twice", timeout_s=TIMEOUT_S,
+            max_body_bytes=ROUTE_MAX_BODY_BYTES,
         )
         for name in ("once", "twice")
     },
@@ -51,7 +52,7 @@
 
 
 class Executor:
-    """A fake executor: what it began to run stays run, whoever still listens."""
+    """A fake executor: a run that it has started ends even if the caller is gone."""
 
     def __init__(self, world):
         self.world = world
@@ -68,8 +69,8 @@
             raise ExecutorLost("x", "dropped")
         self.running += 1
         self.most_running = max(self.most_running, self.running)
-        self.world.note("ran", body=body)
-        await asyncio.sleep(TIMEOUT_S * RUN_SHARES.get(fault, 0.15))
+        self.world.record_event("ran", body=body)
+        await asyncio.sleep(TIMEOUT_S * RUN_TIME_FRACTIONS.get(fault, 0.15))
         self.running -= 1
         return self._answer(fault, attempt, answer_to(body))
 
@@ -78,18 +79,22 @@
         self.answers.append(answer)
         if fault == "drop_after":
             raise ExecutorLost("x", "dropped")
-        if fault in ("crossed", "duplicate"):  # a second copy of an earlier answer
+        if fault in ("crossed", "duplicate"):  # answer of an earlier run
             return self.answers[0]
         if fault == "truncated":
             return answer._replace(body=whole[:-5])
         if fault == "over_long":
-            long = whole + b"+" * LIMIT
+            long = whole + b"+" * ROUTE_MAX_BODY_BYTES
             return answer._replace(content_length=len(long), body=long)
         return answer
 
 
 class Process:
-    """One incarnation of an entry host; its outputs pass a gate."""
+    """One incarnation of an entry host.
+
+    :ivar gate: closed while the process is stopped; outputs wait for it
+    :ivar hidden: entry hosts that it does not see as live
+    """
 
     def __init__(self, world, name, number):
         self.world, self.name = world, name
@@ -144,7 +149,7 @@
 
 
 class World:
-    """All processes, what links them, and the history of what they did."""
+    """All processes, the links between them and the history of events."""
 
     def __init__(self):
         self.loop = VirtualTimeLoop()
@@ -156,13 +161,13 @@
         self.hosts = {}
         for name in CENTRES:
             self.start(name)
-        self.beat = self.loop.create_task(self._heartbeats())
+        self.heartbeat_task = self.loop.create_task(self._heartbeats())
         self.advance(1.0)
 
     def new_id(self):
         return f"n{next(self.numbers)}"
 
-    def note(self, event, **fields):
+    def record_event(self, event, **fields):
         self.history.append({"event": event, **fields})
 
     def start(self, name):
@@ -175,7 +180,9 @@
     def submit(self, host, route, key="", body=None):
         number = next(self.numbers)
         body = body or f"body {key or number}".encode()
-        self.note("submitted", call=number, body=body, once=route == "once", key=key)
+        self.record_event(
+            "submitted", call=number, body=body, once=route == "once", key=key
+        )
         call = RequestCall("acme", "c", route, body, key)
         self.loop.create_task(self._submit(self.hosts[host], number, call))
         return number
@@ -189,12 +196,12 @@
         self.calls[number] = outcome
         if outcome.handle:
             self.handles[outcome.handle] = (number, call.body)
-        self.note(
+        self.record_event(
             "answered", call=number, status=outcome.status, body=outcome.body,
             request=call.body,
         )  # fmt: skip
 
-    def ask(self, host, handle):
+    def request_status(self, host, handle):
         self.loop.create_task(self._ask(self.hosts[host], handle))
 
     async def _ask(self, process, handle):
@@ -202,13 +209,13 @@
         await process.gate.wait()
         number, request = self.handles[handle]
         outcome = result.ok if result.is_ok() else Outcome("unknown")
-        self.note(
+        self.record_event(
             "answered", call=number, status=outcome.status, body=outcome.body,
             request=request,
         )  # fmt: skip
 
     async def deliver(self, sender, host, message, timeout_s):
-        """Carry a call to whatever incarnation is at the host when it arrives."""
+        """Deliver a call to the incarnation that runs on the host when it arrives."""
         if frozenset((sender.name, host)) in self.cuts:
             raise PeerUnsent(host)
         fault = self.link_faults.pop() if self.link_faults else ""
@@ -265,11 +272,11 @@
             process.resume() if not process.dead else None
 
     def finish(self):
-        """End all faults, let everything come to rest and return the history."""
+        """End all faults, let all requests finish and return the history."""
         self.heal()
         self.advance(6 * TIMEOUT_S)
         for handle in self.handles:
-            self.ask("e1", handle)
+            self.request_status("e1", handle)
         self.advance(3 * TIMEOUT_S)
         return self.history
 
@@ -282,7 +289,7 @@
 
 
 def by_request(history):
-    """Group events by the body of the request that they are about."""
+    """Group events by the body of their request."""
     groups = defaultdict(list)
     for event in history:
         groups[event.get("request") or event["body"]].append(event)
--- a/tests/machines/test_point3_answers.py
+++ b/tests/machines/test_point3_answers.py
@@ -17,12 +17,12 @@
 
 
 def test_point_holds():
-    # Guards against partial, foreign and late answers that reach a caller.
+    # Guards against callers that receive partial, late or other callers' answers.
     run_point(POINT, seed_number=1, histories=40)
     assert POINT.counts.faults > 0
 
 
-def trust_any_reply(record, host, reply):
+def accept_any_reply(record, host, reply):
     if isinstance(reply, ForwardReply) and reply.outcome.status == "completed":
         return reply.outcome
     return forwarding.AttemptFailure.NOT_RUN
@@ -32,11 +32,11 @@
     ("module", "name", "removed"),
     [
         (dispatch, "check_answer", lambda answer, *_: answer),
-        (forwarding, "_forward_result", trust_any_reply),
+        (forwarding, "_forward_result", accept_any_reply),
     ],
 )
 def test_removed_mechanism_is_detected(monkeypatch, module, name, removed):
-    # Guards against a machine that cannot see the violation.
+    # Guards against a machine that can't detect a missing mechanism.
     monkeypatch.setattr(module, name, removed)
     with pytest.raises(AssertionError):
         search_violation(Machine, seed_number=1, histories=200)
--- a/tests/machines/test_point4_not_run.py
+++ b/tests/machines/test_point4_not_run.py
@@ -15,7 +15,7 @@
 
 
 def test_point_holds():
-    # Guards against "not run" for a request that ran, runs or will run.
+    # Guards against the answer "not run" for a request that has run or runs later.
     run_point(POINT, seed_number=1, histories=40)
     assert POINT.counts.faults > 0
 
@@ -30,21 +30,21 @@
     return True
 
 
-def forget_lost(self, run_id, host=""):
+def forget_lost_run(self, run_id, host=""):
     self.run_id = ""
 
 
 REMOVED = {
-    "closed records grant nothing": (
+    "no grant by a closed record": (
         (request_records.RequestRecord, "grant", grant_after_close),
     ),
-    "a forward is granted once": (
+    "one grant per forwarded request": (
         (request_records.RequestRecord, "grant_forward", grant_every_run),
     ),
-    "a lost attempt may have run": (
-        (request_records.RequestRecord, "record_lost", forget_lost),
+    "lost attempts count as possibly run": (
+        (request_records.RequestRecord, "record_lost", forget_lost_run),
     ),
-    "only the 503 is a refusal": (
+    "only status 503 is a refusal": (
         (dispatch, "ExecutorNotAccepted", (dispatch.ExecutorNotAccepted,
                                            dispatch.ExecutorLost)),
     ),
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("mechanism", REMOVED)
 def test_removed_mechanism_is_detected(monkeypatch, mechanism):
-    # Guards against a machine that cannot see the violation.
+    # Guards against a machine that can't detect a missing mechanism.
     for target, name, removed in REMOVED[mechanism]:
         monkeypatch.setattr(target, name, removed)
     with pytest.raises(AssertionError):
--- a/tests/machines/test_point5_requests.py
+++ b/tests/machines/test_point5_requests.py
@@ -16,7 +16,7 @@
 
 
 def test_point_holds():
-    # Guards against a second run through retries, other hosts or lost answers.
+    # Guards against a second run after retries, on other hosts or after lost answers.
     run_point(POINT, seed_number=1, histories=40)
     assert POINT.counts.faults > 0
 
@@ -43,12 +43,12 @@
 
 REMOVED = {
     "claim before dispatch": (keyed_requests.Claims, "claim", claim_nothing),
-    "no claim, no run": (
+    "no run without a claim": (
         keyed_requests.KeyedRequests,
         "_serve_unclaimed",
         run_unclaimed,
     ),
-    "a forward is granted once": (
+    "one grant per forwarded request": (
         request_records.RequestRecord,
         "grant_forward",
         grant_every_run,
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("mechanism", REMOVED)
 def test_removed_mechanism_is_detected(monkeypatch, mechanism):
-    # Guards against a machine that cannot see the violation.
+    # Guards against a machine that can't detect a missing mechanism.
     monkeypatch.setattr(*REMOVED[mechanism])
     with pytest.raises(AssertionError):
         search_violation(Machine, seed_number=1, histories=200)
