--- a/tests/machines/oracle_point5_jobs.py
+++ b/tests/machines/oracle_point5_jobs.py
@@ -1,11 +1,11 @@
-"""Judges worker histories and answers: at most one run, and truthful answers."""
+"""Oracle for jobs, points 4 and 5: at most one run, and truthful answers."""
 
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
 
 class JobFacts(NamedTuple):
-    """What the store holds of a job.
+    """The stored state of a job.
 
     :param once: whether the job is non-idempotent
     :param accelerators: accelerators of the whole gang
@@ -20,12 +20,12 @@
 
 
 def check_jobs(jobs, events, not_run, answers):
-    """Raise AssertionError for a second run, a second job or a false answer.
+    """Raise AssertionError for a second run, a duplicate job or a false answer.
 
-    :param jobs: facts by job id
-    :param events: worker events in order of time
-    :param not_run: callers whose every answer was that nothing was run
-    :param answers: status and detail that answered cancellations, by job id
+    :param jobs: stored state by job id
+    :param events: worker events, ordered by time
+    :param not_run: callers whose every answer was ``NotRun``
+    :param answers: status and detail returned by cancellations, by job id
     """
     by_job = defaultdict(list)
     for event in events:
@@ -37,10 +37,10 @@
         starts = [event for event in history if event.kind == "start"]
         if job.once:
             _check_once(job_id, history)
-        told = answers.get(job_id, (job.status, job.detail))
-        assert told == (job.status, job.detail), f"{job_id} changed after {told}"
+        answer = answers.get(job_id, (job.status, job.detail))
+        assert answer == (job.status, job.detail), f"{job_id} changed after {answer}"
         if job.caller in not_run or _never_ran(job):
-            assert not starts, f"{job_id} was reported as never run, and started"
+            assert not starts, f"{job_id} was reported as never run, but it started"
         if job.status == "completed":
             _check_completed(job_id, job, history)
 
@@ -61,14 +61,18 @@
         assert all(count == 1 for count in hosts.values()), f"{attempt_id}: {hosts}"
         if starts:
             ran.append((attempt_id, starts, events))
-    for (earlier, starts, events), (later, again, _) in zip(ran, ran[1:], strict=False):
-        saves = {
+    for (earlier, starts, events), (later, restarts, _) in zip(
+        ran, ran[1:], strict=False
+    ):
+        confirmed_checkpoints = {
             event.host: event.saved for event in events if event.kind == "checkpoint"
         }
-        saved = again[0].saved
-        resumed = saved and all(event.saved == saved for event in again)
-        confirmed = all(saves.get(event.host) == saved for event in starts)
-        assert resumed and confirmed, f"{job_id} ran as {earlier} and as {later}"
+        saved = restarts[0].saved
+        resumed = saved and all(event.saved == saved for event in restarts)
+        all_confirmed = all(
+            confirmed_checkpoints.get(event.host) == saved for event in starts
+        )
+        assert resumed and all_confirmed, f"{job_id} ran as {earlier} and as {later}"
 
 
 def _check_completed(job_id, job, history):
@@ -76,4 +80,4 @@
     for event in history:
         if event.kind == "finish":
             finished[event.attempt_id] += event.accelerators
-    assert job.accelerators in finished.values(), f"{job_id} did not run whole"
+    assert job.accelerators in finished.values(), f"{job_id} completed only in part"
--- a/tests/machines/test_point1_reclaim.py
+++ b/tests/machines/test_point1_reclaim.py
@@ -167,7 +167,7 @@
             self.record(decision)
         after = self.missing()
         for key, count in after.items():
-            assert count <= before.get(key, 0), f"a decision lost a cell of {key}"
+            assert count <= before.get(key, 0), f"{key} has lost a cell"
         for job_id in confirmed:
             assert self.stage(job_id) != "clearing", f"{job_id} waits again"
         self.oracle.check_grown(bound, self.bound())
--- a/tests/machines/test_point5_jobs.py
+++ b/tests/machines/test_point5_jobs.py
@@ -21,7 +21,7 @@
 
 
 class JobMachine(GangRules):
-    """Histories of jobs judged by what callers were told."""
+    """Checks runs at the workers against the answers to callers."""
 
     counts = Counts()
 
@@ -41,12 +41,13 @@
 
 
 def test_point_holds():
+    """Guards against a second run of a job and against false answers."""
     run_point(POINT, seed_number=1, histories=15)
 
 
 @pytest.mark.parametrize("fault", ["kill", "pause", "answer lost", "worker restart"])
 def test_fault_between_any_two_steps(fault):
-    # Guards against one step of a gang start that a takeover misjudges.
+    # Guards against a takeover that misreads the state of a half-started gang.
     for steps in itertools.count(1):
         world = World(processes=2, workers=2)
         world.advance(3)
@@ -79,7 +80,7 @@
         world.workers["w1"].model.restart()
 
 
-async def mark_without_expectations(context, gang):
+async def mark_without_preconditions(context, gang):
     record = gang.record._replace(started_at=context.now())
     write = gang_start.put_job(record)
     result = await context.tables.transact([], [write])
@@ -106,7 +107,7 @@
     machine.pause_worker("w0")
 
 
-def cancel_crosses_start(machine):
+def cancel_during_start(machine):
     machine.submit_one("once", 4.0)
     machine.world.advance(0.033)
     machine.cancel(0, "b")
@@ -120,12 +121,12 @@
     machine.advance(3.0)
 
 
-def retry_elsewhere(machine):
+def retry_on_another_host(machine):
     machine.submit_with_key("x", "a")
     machine.submit_with_key("x", "b")
 
 
-def deposed_planner_cut_from_store(machine):
+def deposed_planner_without_store(machine):
     world = machine.world
     world.processes["a"].tables.down = True
     machine.advance(6.0)
@@ -138,33 +139,37 @@
     machine.advance(6.0)
 
 
-NUMBERS = itertools.count()
+CLAIM_NUMBERS = itertools.count()
 ABLATIONS = {
     "confirmation that nothing started": (
         (gang_stop, "_never_started", assume_unstarted),
         start_answer_lost,
     ),
-    "expectations of the start mark": (
-        (gang_run, "mark_started", mark_without_expectations),
-        cancel_crosses_start,
+    "preconditions of the start mark": (
+        (gang_run, "mark_started", mark_without_preconditions),
+        cancel_during_start,
     ),
     "confirmation of the checkpoint": (
         (gang_run, "checkpoint_all", assume_checkpoint),
         checkpoint_refused,
     ),
     "claim of the key": (
-        (job_acceptance, "claim_key", lambda account, key: f"claims/{next(NUMBERS)}"),
-        retry_elsewhere,
+        (
+            job_acceptance,
+            "claim_key",
+            lambda account, key: f"claims/{next(CLAIM_NUMBERS)}",
+        ),
+        retry_on_another_host,
     ),
     "fencing token": (
         (PlannerLease, "epoch", property(lambda lease: 1)),
-        deposed_planner_cut_from_store,
+        deposed_planner_without_store,
     ),
 }
 
 
 @pytest.mark.parametrize("name", ABLATIONS)
-def test_history_is_harmless_with_the_mechanism(name):
+def test_history_holds_with_the_mechanism(name):
     machine = JobMachine()
     ABLATIONS[name][1](machine)
     machine.teardown()
@@ -172,6 +177,7 @@
 
 @pytest.mark.parametrize("name", ABLATIONS)
 def test_mechanism_is_needed(name, monkeypatch):
+    """Guards against a machine that can't detect a missing mechanism."""
     patch, history = ABLATIONS[name]
     monkeypatch.setattr(*patch)
     machine = JobMachine()
@@ -204,7 +210,7 @@
         set(),
         {},
     ),
-    "answer taken back": (JOB, RUN, set(), {"j": ("cancelled", "")}),
+    "answer changed later": (JOB, RUN, set(), {"j": ("cancelled", "")}),
     "completed in part": (JOB._replace(accelerators=4), RUN, set(), {}),
 }
 
@@ -233,7 +239,7 @@
 
 
 def test_eviction_is_completed_by_the_next_planner():
-    # Guards against tasks that stay held at a checkpoint after a takeover.
+    # Guards against tasks that stay paused at a checkpoint after a takeover.
     machine = JobMachine()
     machine.submit_one("once-save", 15.0, settle_s=4.0)
     machine.evict(0)
--- a/tests/machines/test_point5_planner.py
+++ b/tests/machines/test_point5_planner.py
@@ -1,4 +1,4 @@
-"""Point 5 on the platform: a task runs once, whoever plans and whatever is lost."""
+"""Point 5 on the platform: a task runs once despite takeovers and faults."""
 
 import pytest
 from bilberryhitch_jobs import JobState
@@ -11,14 +11,14 @@
 from tests.machines.world_point5_planner import PlannerWorld, truth
 
 COUNTS = Counts()
-# A lease, a takeover and the work of all jobs one after another.
+# Enough for a lease to expire, a takeover and all jobs in sequence.
 SETTLE_TURNS = 900
-# Half a second after each event, so that a history spans several jobs.
+# Turns after each event (0.5 s), so that a history covers several jobs.
 TURNS = 5
 
 
 class PlannerMachine(RuleBasedStateMachine):
-    """Jobs, takeovers, cuts, late orders and outages of the store, in any order."""
+    """Submits jobs among takeovers, cut links, delayed orders and store outages."""
 
     def __init__(self):
         super().__init__()
@@ -43,17 +43,17 @@
             1.0, each.demand, gang_size=size if gang else 1, save_s=0.5 * saves
         )
         self.world.submit(job, work)
-        self._pass(TURNS)
+        self._run_turns(TURNS)
 
     @rule(turns=st.integers(1, 40))
     def wait(self, turns):
-        self._pass(turns)
+        self._run_turns(turns)
 
     @rule(number=st.integers(0, 3))
     def cut(self, number):
         COUNTS.faults += 1
         self.world.cut ^= {f"w{number}"}
-        self._pass(TURNS)
+        self._run_turns(TURNS)
 
     @rule(number=st.integers(2, 3))
     def crash(self, number):
@@ -64,36 +64,36 @@
     @rule(orders=st.integers(1, 6))
     def orders_come_late(self, orders):
         COUNTS.faults += 1
-        self.world.late_next = orders
+        self.world.orders_to_delay = orders
 
     @rule(turns=st.integers(5, 150))
     def store_is_away(self, turns):
         COUNTS.faults += 1
         self.world.store_up = False
-        self._pass(turns)
+        self._run_turns(turns)
         self.world.store_up = True
 
     @rule(behind=st.integers(0, 3))
     def take_over(self, behind):
-        """Change planners, often with a worker behind a cut."""
+        """Elect another planner while a worker is unreachable."""
         COUNTS.faults += 1
         self.world.cut |= {f"w{behind}"}
         self.world.take_over()
-        self._pass(TURNS)
+        self._run_turns(TURNS)
 
     @invariant()
     def nothing_is_broken(self):
         assert not self.world.violations
 
-    def _pass(self, turns):
+    def _run_turns(self, turns):
         for _ in range(turns):
             COUNTS.steps += 1
             self.world.turn()
 
     def teardown(self):
-        """Heal everything; each accepted job must be completed."""
+        """End all faults; each accepted job must then be completed."""
         world = self.world
-        world.cut, world.late_next, world.store_up = set(), 0, True
+        world.cut, world.orders_to_delay, world.store_up = set(), 0, True
         for _ in range(SETTLE_TURNS):
             if all(job.finished for job in world.leader.planner.jobs.values()):
                 break
@@ -109,11 +109,12 @@
 
 
 def test_tasks_run_once_over_takeovers():
+    """Guards against a second run of a task after a takeover or a lost answer."""
     run_point(POINT, seed_number=1, histories=15)
 
 
-def test_the_oracle_rejects_a_second_run():
-    """The model notices what the machine is to find."""
+def test_world_rejects_a_second_run():
+    """Guards against a world that does not detect two runs of a task at once."""
     world = PlannerWorld()
     each = step(1, 1)
     world.submit(request("0" * 16, each), truth(1.0, each.demand))
@@ -132,7 +133,8 @@
         world.turn()
 
 
-def test_a_planner_that_does_not_wait_for_unseen_workers_is_noticed(monkeypatch):
+def test_a_planner_that_does_not_wait_for_unsynced_workers_is_detected(monkeypatch):
+    """Guards against a machine that can't detect this missing mechanism."""
     monkeypatch.setattr(Planner, "has_unsynced_workers", property(lambda _: False))
     with pytest.raises(AssertionError):
         run_point(POINT, seed_number=1, histories=60)
--- a/tests/machines/world_point5_planner.py
+++ b/tests/machines/world_point5_planner.py
@@ -1,4 +1,4 @@
-"""Planners that follow each other over model workers, a store and lossy orders."""
+"""Simulates successive planners over model workers, a store and delayed orders."""
 
 from bilberryhitch_jobs import JobProgress, JobState
 from bilberryhitch_planner import EndKind, Planner, StartOrder, StartOutcome, StopOrder
@@ -12,26 +12,29 @@
 HORIZON_S = WORKER_LEASE_HORIZON_S * (1 + CLOCK_DRIFT) + LEASE_SLACK_S
 
 
-class Holder:
-    """One planner's tenure and what its host has in flight."""
+class LeaseHolder:
+    """A planner with its lease, and the calls that its host has in flight."""
 
     def __init__(self, token, planner, confirmed_at):
         self.token = token
         self.planner = planner
         self.confirmed_at = confirmed_at
-        self.looked = set()
-        self.lost = set()
+        self.contacted = set()
+        self.unreachable = set()
         self.acknowledged = {}
         self.stops = []
         self.fenced = False
 
     @property
-    def limit(self):
+    def lease_limit(self):
         return self.confirmed_at + WORKER_LEASE_HORIZON_S
 
 
 class PlannerWorld:
-    """A store that may be away, workers that may be cut off, orders that come late."""
+    """A planner and its successors, with faults.
+
+    The store can be unavailable, workers unreachable and start orders delayed.
+    """
 
     def __init__(self, workers=4):
         self.now = 0.0
@@ -42,15 +45,15 @@
         self.roster = frozenset()
         self.truths = {}
         self.cut = set()
-        self.late = []
-        self.late_next = 0
-        self.done = set()
+        self.delayed_orders = []
+        self.orders_to_delay = 0
+        self.finished_tasks = set()
         self.violations = []
         self.fleet = SimulatedFleet(lambda task: self.truths[task.job])
         for number in range(workers):
             each = entry(f"w{number}", rack=f"r{number // 2}")
             self.fleet.add_worker(each)
-        self.former = None
+        self.former_leader = None
         self.leader = None
         self.take_over()
 
@@ -60,52 +63,56 @@
         self.revision += 1
         self.truths[request.job] = truth
         self.requests[request.job] = (request, self.revision)
-        for holder in (self.leader, self.former):
+        for holder in (self.leader, self.former_leader):
             if holder is not None:
-                self._tell(holder, request.job)
+                self._add_job(holder, request.job)
 
     def take_over(self):
-        """Elect another planner; the former one goes on until it notices."""
-        self.former = self.leader
+        """Elect another planner; the former leader continues until it is fenced."""
+        self.former_leader = self.leader
         self.revision += 1
-        until = self.former.confirmed_at + HORIZON_S if self.former else 0.0
+        until = (
+            self.former_leader.confirmed_at + HORIZON_S if self.former_leader else 0.0
+        )
         planner = Planner(inherited_revision=self.revision, inherited_until=until)
         planner.configure(configuration())
-        self.leader = Holder(self.revision, planner, self.now)
+        self.leader = LeaseHolder(self.revision, planner, self.now)
         for name in self.roster:
             planner.add_unregistered_worker(name, now=self.now)
         for worker in self.fleet.workers.values():
             if worker.alive:
                 planner.add_worker(worker.entry, now=self.now)
         for name in self.requests:
-            self._tell(self.leader, name)
+            self._add_job(self.leader, name)
 
     def turn(self):
-        """Let a tenth of a second pass for everybody."""
+        """Advance the clock, the workers and both planners by ``TURN_S``."""
         self.now += TURN_S
         self.fleet.advance(self.now)
-        for due, name, call in list(self.late):
+        for due, name, call in list(self.delayed_orders):
             if due <= self.now:
-                self.late.remove((due, name, call))
+                self.delayed_orders.remove((due, name, call))
                 if self.fleet.workers[name].alive:
                     call()
-        for holder in (self.former, self.leader):
+        for holder in (self.former_leader, self.leader):
             if holder is not None and not holder.fenced:
-                self._act(holder)
+                self._run_turn(holder)
         self.violations += [f"{task} overlaps" for task in self.fleet.duplicate_runs]
-        self.violations += [f"{task} has no room" for task in self.fleet.overcommitted]
+        self.violations += [
+            f"{task} is overbooked" for task in self.fleet.overcommitted
+        ]
         assert not self.violations, self.violations
 
     def crash(self, name):
-        """End a worker for good; the list of machines tells of it."""
+        """End a worker permanently; the planners learn it from the host list."""
         self.fleet.workers[name].crash()
-        for holder in (self.leader, self.former):
+        for holder in (self.leader, self.former_leader):
             if holder is not None:
                 holder.planner.remove_ended_worker(
                     name, now=self.now, unix_s=START_UNIX_S + self.now
                 )
 
-    def _tell(self, holder, name):
+    def _add_job(self, holder, name):
         request, revision = self.requests[name]
         fresh = JobProgress(JobState.PENDING, request.account, {})
         holder.planner.add_job(
@@ -116,17 +123,17 @@
             unix_s=START_UNIX_S + self.now,
         )
 
-    def _act(self, holder):
+    def _run_turn(self, holder):
         for name in list(holder.planner.workers):
             if name in self.fleet.workers:
-                self._look(holder, name)
-        self._store(holder)
+                self._exchange_heartbeat(holder, name)
+        self._store_progress(holder)
         planner = holder.planner
         planner.tick(now=self.now, unix_s=START_UNIX_S + self.now)
         for order in planner.plan(
             now=self.now,
             unix_s=START_UNIX_S + self.now,
-            may_start=holder.limit - self.now > 1.5,
+            may_start=holder.lease_limit - self.now > 1.5,
         ):
             if isinstance(order, StartOrder):
                 self._start(holder, order)
@@ -141,16 +148,20 @@
             in getattr(planner.workers.get(order.worker), "runs", {})
         ]
 
-    def _look(self, holder, name):
+    def _exchange_heartbeat(self, holder, name):
         model = self.fleet.workers[name]
         worker = holder.planner.workers[name]
         if name in self.cut or not model.alive:
-            holder.lost.add(name)
+            holder.unreachable.add(name)
             holder.acknowledged.pop(name, None)
             return
         lease = None
-        limit = min(self.now + LEASE_S, holder.limit)
-        if name in holder.looked and name not in holder.lost and limit > self.now:
+        limit = min(self.now + LEASE_S, holder.lease_limit)
+        if (
+            name in holder.contacted
+            and name not in holder.unreachable
+            and limit > self.now
+        ):
             lease = worker.lease_deadline(limit, self.now)
         report = model.hold(
             token=holder.token,
@@ -161,17 +172,19 @@
         if report is None:
             holder.fenced = True
             return
-        holder.looked.add(name)
-        holder.lost.discard(name)
+        holder.contacted.add(name)
+        holder.unreachable.discard(name)
         holder.planner.apply_heartbeat(
             name, report, sent_at=self.now, now=self.now, unix_s=START_UNIX_S + self.now
         )
-        if report.ended and self._store(holder):
+        if report.ended and self._store_progress(holder):
             holder.acknowledged[name] = max(end.sequence for end in report.ended)
-            self.done |= {e.task for e in report.ended if e.how is EndKind.DONE}
+            self.finished_tasks |= {
+                e.task for e in report.ended if e.how is EndKind.DONE
+            }
 
-    def _store(self, holder):
-        """Store what has changed under the lease and return whether all is stored."""
+    def _store_progress(self, holder):
+        """Store changed jobs and renew the lease; return whether that succeeded."""
         if not self.store_up or holder is not self.leader:
             return False
         for name in holder.planner.dirty:
@@ -186,7 +199,9 @@
     def _start(self, holder, order):
         model = self.fleet.workers[order.worker]
         worker = holder.planner.workers[order.worker]
-        lease = worker.lease_deadline(min(self.now + LEASE_S, holder.limit), self.now)
+        lease = worker.lease_deadline(
+            min(self.now + LEASE_S, holder.lease_limit), self.now
+        )
 
         def apply():
             outcome = model.start(
@@ -197,15 +212,17 @@
                 lease_until_s=lease,
                 now=self.now,
             )
-            if outcome is StartOutcome.STARTED and order.task in self.done:
-                self.violations.append(f"{order.task} ran after its end")
+            if outcome is StartOutcome.STARTED and order.task in self.finished_tasks:
+                self.violations.append(
+                    f"{order.task} was started after it had finished"
+                )
             return outcome
 
         outcome = StartOutcome.UNKNOWN
-        if self.late_next:
-            self.late_next -= 1
-            due = self.now + 0.5 * (1 + self.late_next)
-            self.late.append((due, order.worker, apply))
+        if self.orders_to_delay:
+            self.orders_to_delay -= 1
+            due = self.now + 0.5 * (1 + self.orders_to_delay)
+            self.delayed_orders.append((due, order.worker, apply))
         elif order.worker not in self.cut and model.alive:
             outcome = apply()
         if outcome is StartOutcome.FENCED:
@@ -228,5 +245,5 @@
 
 
 def truth(work_s, demand, *, gang_size=1, save_s=0.0):
-    """Return what the tasks of a job really are."""
+    """Return the actual work and demand of a job's tasks."""
     return TaskProfile(work_s, demand, gang_size=gang_size, checkpoint_period_s=save_s)
