--- a/libs/app/src/bilberryhitch/demo_load.py
+++ b/libs/app/src/bilberryhitch/demo_load.py
@@ -14,7 +14,7 @@
 from .demo_deployments import Deployment, WorkloadKind
 
 JOB_WAIT_S = 10.0
-JOB_DEADLINE_S = 45.0
+JOB_TIMEOUT_S = 45.0
 
 
 class WorkResult(NamedTuple):
@@ -97,7 +97,9 @@
         if not kind.idempotent:
             headers["Idempotency-Key"] = f"{kind.route}-{number}"
         url = f"{next(self._apis)}/v1/requests/{kind.route}"
-        async with self._open_session.post(url, data=body, headers=headers) as response:
+        async with self._active_session.post(
+            url, data=body, headers=headers
+        ) as response:
             text = await response.text()
             outcome = response.headers.get("Bilberryhitch-Outcome", "refused")
         if outcome == "completed" and answer not in text:
@@ -113,7 +115,9 @@
         headers = _headers(kind)
         headers["Idempotency-Key"] = f"{kind.route}-{number}"
         url = f"{next(self._apis)}/v1/jobs"
-        async with self._open_session.post(url, json=call, headers=headers) as response:
+        async with self._active_session.post(
+            url, json=call, headers=headers
+        ) as response:
             body = await response.json()
             if response.status >= HTTPStatus.BAD_REQUEST:
                 return response.headers.get("Bilberryhitch-Outcome", "refused")
@@ -121,17 +125,19 @@
 
     async def _poll_job(self, kind: WorkloadKind, job_id: str) -> str:
         loop = asyncio.get_running_loop()
-        deadline_s = loop.time() + JOB_DEADLINE_S
+        deadline_s = loop.time() + JOB_TIMEOUT_S
         while loop.time() < deadline_s:
             url = f"{next(self._apis)}/v1/jobs/{job_id}/wait?timeout_s={JOB_WAIT_S}"
-            async with self._open_session.get(url, headers=_headers(kind)) as response:
+            async with self._active_session.get(
+                url, headers=_headers(kind)
+            ) as response:
                 body = await response.json()
             if body.get("state") == "finished":
                 return str(body["status"])
         return "timed out"
 
     @property
-    def _open_session(self) -> aiohttp.ClientSession:
+    def _active_session(self) -> aiohttp.ClientSession:
         assert self._session is not None
         return self._session
 
--- a/libs/config/src/bilberryhitch_config/host_revisions.py
+++ b/libs/config/src/bilberryhitch_config/host_revisions.py
@@ -25,7 +25,7 @@
         self._last_heartbeats: dict[str, tuple[int, float]] = {}
 
     def record(self, host: str, revision: int, now_s: float) -> None:
-        """Store the revision of a heartbeat; ``now_s`` is loop time."""
+        """Record the revision of a heartbeat; ``now_s`` is loop time."""
         self._last_heartbeats[host] = (revision, now_s)
 
     def newest(self, now_s: float) -> tuple[str, int]:
--- a/libs/config/src/bilberryhitch_config/service.py
+++ b/libs/config/src/bilberryhitch_config/service.py
@@ -38,8 +38,8 @@
     """Commits operators' changes and adopts committed changes.
 
     A process adopts only revisions higher than its own, from three sources: its own
-    commits, polls of the store, and offers of peers. The tables are replaced as a
-    whole.
+    commits, polls of the store, and offers of peers. Both tables are replaced
+    together.
 
     :param now: returns UTC seconds, for the history only
     :param new_id: returns a unique operation id
@@ -112,8 +112,8 @@
         """Commit an operator's change on top of ``base_revision``.
 
         :returns: the commit, or the error. ``StoreAnswerLost`` is the only error
-            after which the change may have been committed; the history then shows
-            it under the same operation id.
+            after which the change may have been committed; if it was, the history
+            shows a change with the operation id of the error.
         """
         base = await self._check_base_revision(base_revision)
         if base.is_error():
@@ -191,7 +191,7 @@
         return None
 
     def receive_revision(self, host: str, revision: int) -> None:
-        """Store the revision of a peer's heartbeat; request it if it is higher."""
+        """Record the revision of a peer's heartbeat; request it if it is higher."""
         self._host_revisions.record(host, revision, self._loop_time_s())
         if revision > self._view.revision:
             self._ask(host)
