--- a/libs/app/src/bilberryhitch/entry_host.py
+++ b/libs/app/src/bilberryhitch/entry_host.py
@@ -27,7 +27,7 @@
 from bilberryhitch_settings import Settings
 from bilberryhitch_telemetry import events, log, scrape
 
-from .message_routing import make_message_handler
+from .message_dispatch import make_message_handler
 
 FULL_USAGE_INTERVAL_HEARTBEATS = 20
 
