--- a/libs/api/src/bilberryhitch_api/admin.py
+++ b/libs/api/src/bilberryhitch_api/admin.py
@@ -24,9 +24,9 @@
 )
 from expression import Result
 
+from .authentication import authenticate_operator
 from .bodies import query_number, read_body
 from .diff import TableDiff, diff_rows
-from .tokens import authenticate_operator
 
 MAX_LIST_ENTRIES = 1000
 DEFAULT_LIST_ENTRIES = 20
--- a/libs/app/src/bilberryhitch/entry_host.py
+++ b/libs/app/src/bilberryhitch/entry_host.py
@@ -8,9 +8,9 @@
 from typing import NamedTuple
 
 from bilberryhitch_api.admin import admin_routes
+from bilberryhitch_api.authentication import caller_authenticator
 from bilberryhitch_api.callers import caller_routes
 from bilberryhitch_api.server import ApiServer, health_routes
-from bilberryhitch_api.tokens import caller_authenticator
 from bilberryhitch_config import ConfigService, read_audit
 from bilberryhitch_gangs import HttpWorkerClient, JobService, PlannerSet
 from bilberryhitch_membership import HeartbeatFields, Membership
