--- a/libs/planner/tests/test_throttling.py
+++ b/libs/planner/tests/test_throttling.py
@@ -14,7 +14,7 @@
 TARGET_S = 0.2
 
 
-class SharedWorkerWorld(PlannerHarness):
+class SharedWorkerHarness(PlannerHarness):
     """One worker with a serving task and a task that uses idle CPU."""
 
     def __init__(self):
@@ -42,9 +42,9 @@
 
 def test_idle_cpu_tasks_are_throttled_until_latency_is_below_its_target():
     """Guards against latency above the target for seconds due to idle-CPU tasks."""
-    world = SharedWorkerWorld()
+    harness = SharedWorkerHarness()
     cpu_shares = [
-        cpu_share for _ in range(6) for cpu_share in world.report_latency(250.0)
+        cpu_share for _ in range(6) for cpu_share in harness.report_latency(250.0)
     ]
     assert cpu_shares[:3] == [50, 25, 12]
     assert cpu_shares[-1] == 0
@@ -52,11 +52,11 @@
 
 def test_throttled_tasks_speed_up_again_when_latency_is_low():
     """Guards against idle-CPU tasks that stay paused for good."""
-    world = SharedWorkerWorld()
+    harness = SharedWorkerHarness()
     for _ in range(3):
-        world.report_latency(250.0)
+        harness.report_latency(250.0)
     cpu_shares = [
-        cpu_share for _ in range(12) for cpu_share in world.report_latency(50.0)
+        cpu_share for _ in range(12) for cpu_share in harness.report_latency(50.0)
     ]
     assert cpu_shares == sorted(cpu_shares)
     assert cpu_shares[-1] == 100
@@ -64,18 +64,20 @@
 
 @pytest.mark.parametrize("tail_ms", [140.0, 160.0])
 def test_cpu_shares_are_unchanged_between_the_thresholds(tail_ms):
-    world = SharedWorkerWorld()
-    world.report_latency(250.0)
+    harness = SharedWorkerHarness()
+    harness.report_latency(250.0)
     cpu_shares = [
-        cpu_share for _ in range(7) for cpu_share in world.report_latency(tail_ms)
+        cpu_share for _ in range(7) for cpu_share in harness.report_latency(tail_ms)
     ]
     assert set(cpu_shares) == {50}
     assert len(cpu_shares) <= 2
 
 
 def test_a_paused_idle_cpu_task_does_not_count_as_stalled():
-    world = SharedWorkerWorld()
+    harness = SharedWorkerHarness()
     for _ in range(8):
-        world.report_latency(250.0)
-    world.now += 10.0
-    assert not [order for order in world.plan() if not isinstance(order, ThrottleOrder)]
+        harness.report_latency(250.0)
+    harness.now += 10.0
+    assert not [
+        order for order in harness.plan() if not isinstance(order, ThrottleOrder)
+    ]
--- a/libs/planner/tests/test_upkeep.py
+++ b/libs/planner/tests/test_upkeep.py
@@ -84,12 +84,12 @@
     """Guards against too many unavailable tasks: two tasks of one step run on machines
     of one wave.
     """
-    world = PlannerHarness(entry("w1"), entry("w2"), entry("w3"))
-    world.send_all_heartbeats()
+    harness = PlannerHarness(entry("w1"), entry("w2"), entry("w3"))
+    harness.send_all_heartbeats()
     long_running_step = step(3, gpu=8, long_running=True, max_unavailable=1)
-    world.add(request("serving", long_running_step, route=queue("batch", 2)))
-    world.start_all()
-    workers = world.planner.workers
+    harness.add(request("serving", long_running_step, route=queue("batch", 2)))
+    harness.start_all()
+    workers = harness.planner.workers
     assert takedown_cost(workers["w1"], 1.0) is None
     for worker in workers.values():
         for run in worker.runs.values():
@@ -144,7 +144,7 @@
         return True
 
 
-def upkeep(calls, writer, world, failures=0):
+def upkeep(calls, writer, harness, failures=0):
     left = iter([True] * failures)
 
     async def read(table, *, timeout_s):
@@ -154,7 +154,7 @@
 
     return UpkeepController(
         SimpleNamespace(read=read),
-        world.planner,
+        harness.planner,
         writer,
         calls,
         token=7,
@@ -177,12 +177,12 @@
 @pytest.mark.parametrize("lost", [0, 2])
 def test_a_wave_is_carried_out_one_machine_at_a_time(lost):
     async def run_scenario():
-        world, writer = (
+        harness, writer = (
             PlannerHarness(entry("i-a"), entry("i-b"), entry("i-c")),
             ImmediateStateWriter(),
         )
         calls = FakeMachines("abc", lost)
-        running = asyncio.create_task(upkeep(calls, writer, world).run())
+        running = asyncio.create_task(upkeep(calls, writer, harness).run())
         await asyncio.sleep(1.2)
         assert writer.rows["status", "1"] == b"0"
         await asyncio.sleep(30)
@@ -191,7 +191,7 @@
         assert calls.max_down == 1
         assert writer.rows["status", "1"] == b"1"
         # The runs on the machines have ended with their workers.
-        assert not world.planner.workers
+        assert not harness.planner.workers
 
     run_virtual(run_scenario())
 
@@ -200,9 +200,9 @@
     """Guards against a lease term that ends because one read failed."""
 
     async def run_scenario():
-        world, writer = PlannerHarness(entry("i-a")), ImmediateStateWriter()
+        harness, writer = PlannerHarness(entry("i-a")), ImmediateStateWriter()
         calls = FakeMachines("abc")
-        running = asyncio.create_task(upkeep(calls, writer, world, failures=2).run())
+        running = asyncio.create_task(upkeep(calls, writer, harness, failures=2).run())
         await asyncio.sleep(30)
         running.cancel()
         assert calls.taken_down == set("abc")
@@ -214,10 +214,10 @@
     """Guards against two planners that send orders to the same machine."""
 
     async def run_scenario():
-        world, writer = PlannerHarness(entry("i-a")), ImmediateStateWriter()
+        harness, writer = PlannerHarness(entry("i-a")), ImmediateStateWriter()
         calls = FakeMachines("abc")
         writer.lease_is_fresh = False
-        running = asyncio.create_task(upkeep(calls, writer, world).run())
+        running = asyncio.create_task(upkeep(calls, writer, harness).run())
         await asyncio.sleep(5)
         assert not calls.taken_down
         writer.lease_is_fresh = calls.fenced = True
