--- a/libs/scheduling/src/bilberryhitch_scheduling/account_shares.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/account_shares.py
@@ -46,7 +46,7 @@
     def count_usage(self, job: Job, step: int) -> None:
         """Add (``step`` 1) or subtract (-1) what an allocated job uses.
 
-        Must be called while the job has its members.
+        Must be called while the job's members are set, as they are what is counted.
         """
         account = job.spec.client_account
         _add(self.in_use, account, step * job.allocated_accelerators)
--- a/libs/scheduling/src/bilberryhitch_scheduling/adopted_jobs.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/adopted_jobs.py
@@ -70,7 +70,7 @@
         return found
 
     def _join_recorded_cell(self, job: Job, key: GuaranteeKey, cell: int) -> bool:
-        """Enter a cell of the recorded size, even if its guarantee was reduced."""
+        """Assign a job to a cell of its recorded size, even beyond the guarantee."""
         bound = self._guarantees.bound_cell_around(cell)
         if bound is None and self._protected_jobs_in(key, cell) is not None:
             bound = self._guarantees.bind(key, cell)
--- a/libs/scheduling/src/bilberryhitch_scheduling/allocator.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/allocator.py
@@ -46,6 +46,8 @@
         self._requeue_displaced = displace
         self._estimates = estimates
         self._unbound_adopted = AdoptedJobs(pool_state, guarantees)
+        # (scope, shape), where the scope is an account for its guarantees, "" for
+        # spare capacity, "*" for all free workers, or "in JOB" for a reservation.
         self._failed_searches: set[tuple[str, Shape]] = set()
 
     def clear_failed_searches(self) -> None:
@@ -62,7 +64,7 @@
         :returns: ids of the borrowers to evict before the job can start, as keys of
             a dictionary in order, or ``None`` if it cannot be placed
         """
-        self._estimate(job)
+        self._set_expected_run_time(job)
         if self.uses_accelerators(job):
             found = self._allocate_guaranteed(job, now)
             if found is not None:
@@ -73,7 +75,7 @@
 
     def adopt(self, job: Job, placement: Placement, borrowed: bool) -> None:
         """Record a running job; :meth:`bind_adopted` binds its guaranteed cell."""
-        self._estimate(job)
+        self._set_expected_run_time(job)
         job.protected = not borrowed
         hosts = self.pool_state.hosts
         members = [member for member in placement.members if member.host in hosts]
@@ -116,7 +118,7 @@
             if not cell.jobs:
                 self.guarantees.unbind(cell)
 
-    def _estimate(self, job: Job) -> None:
+    def _set_expected_run_time(self, job: Job) -> None:
         spec = job.spec
         estimate_key = (spec.client_account, spec.kind, spec.declared_s)
         job.expected_s = self._estimates.quantile(*estimate_key, 0.5)
@@ -148,8 +150,8 @@
 
     def _allocate_guaranteed(self, job: Job, now: float) -> dict[str, None] | None:
         account = job.spec.client_account
-        memo = (account, job.shape)
-        if memo in self._failed_searches:
+        search_key = (account, job.shape)
+        if search_key in self._failed_searches:
             return None
         for key in self.guarantees.keys(account):
             if not self.fits_guarantee(job, key):
@@ -157,18 +159,18 @@
             job.protected = True
             for bound in self.guarantees.usable_cells(key):
                 members = place_with_evictions(self.pool_state, bound.cell, job.shape)
-                if members is not None and self._within(bound, members):
+                if members is not None and self._stays_within_guarantee(bound, members):
                     return self._assign(job, members, bound)
             found = self._bind_new_cell(job, key, now)
             if found is not None:
                 return found
-        self._failed_searches.add(memo)
+        self._failed_searches.add(search_key)
         return None
 
     def _bind_new_cell(
         self, job: Job, key: GuaranteeKey, now: float
     ) -> dict[str, None] | None:
-        """Bind a new cell: a free one if possible, otherwise the cheapest to clear.
+        """Bind a new cell: a free one, or the one with the cheapest evictions.
 
         A free and unreserved cell is preferred to all others; otherwise a large gang
         could be evicted for one small job. The other cells are ordered by the work
@@ -208,14 +210,14 @@
         members = place_with_evictions(self.pool_state, cell, job.shape)
         if (
             members is not None
-            and self._within(bound, members)
+            and self._stays_within_guarantee(bound, members)
             and self._shortage_not_grown(before)
         ):
             return self._assign(job, members, bound)
         self.guarantees.unbind(bound)
         return None
 
-    def _within(self, bound: BoundCell, members: list[Member]) -> bool:
+    def _stays_within_guarantee(self, bound: BoundCell, members: list[Member]) -> bool:
         """Return whether the account stays within the cell and the guarantee.
 
         After a guarantee was reduced, the account may hold more than it allows.
@@ -245,8 +247,8 @@
             members = self.pool_state.cpu_members(job.shape, protected=True)
             if members is not None:
                 return self._assign(job, members, None)
-        memo = ("", job.shape)
-        if memo in self._failed_searches and not may_preempt:
+        search_key = ("", job.shape)
+        if search_key in self._failed_searches and not may_preempt:
             return None
         placements = spare_placements(self.pool_state, job.shape)
         if may_preempt:
@@ -256,7 +258,7 @@
         for members in placements:
             if self.keeps_guarantees(members):
                 return self._assign(job, members, None)
-        self._failed_searches.add(memo)
+        self._failed_searches.add(search_key)
         return None
 
     def keeps_guarantees(self, members: list[Member]) -> bool:
@@ -275,7 +277,7 @@
         if job.shape.accelerators == 0:
             members = self.pool_state.cpu_members(job.shape, protected=False)
         else:
-            members = self._free_members(job, now)
+            members = self._find_free_or_reserved(job, now)
             if members is None and may_preempt:
                 members = next(
                     preempting_placements(self.pool_state, job.shape, now), None
@@ -284,27 +286,27 @@
             return None
         return self._assign(job, members, None)
 
-    def _free_members(self, job: Job, now: float) -> list[Member] | None:
+    def _find_free_or_reserved(self, job: Job, now: float) -> list[Member] | None:
         score = neighbour_score(self.pool_state, now + job.expected_s)
         find = partial(find_free_members, self.pool_state, job.shape, score)
-        memo = ("*", job.shape)
-        if memo not in self._failed_searches:
+        search_key = ("*", job.shape)
+        if search_key not in self._failed_searches:
             members = find()
             if members is not None:
                 return members
-            self._failed_searches.add(memo)
+            self._failed_searches.add(search_key)
         for reservation in self.reservations:
-            memo = (f"in {reservation.job.job_id}", job.shape)
-            if memo in self._failed_searches:
+            search_key = (f"in {reservation.job.job_id}", job.shape)
+            if search_key in self._failed_searches:
                 continue
             own = reservation.job is job
             if own or self._admits_backfill(reservation, job, now):
-                self.reservations.hold(reservation, False)
+                self.reservations.set_hidden(reservation, False)
                 members = find()
-                self.reservations.hold(reservation, True)
+                self.reservations.set_hidden(reservation, True)
                 if members is not None:
                     return members
-                self._failed_searches.add(memo)
+                self._failed_searches.add(search_key)
         return None
 
     def _admits_backfill(
--- a/libs/scheduling/src/bilberryhitch_scheduling/cell_search.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/cell_search.py
@@ -22,8 +22,8 @@
 def search_cells(tree: CellTree, index: CellIndex, shape: Shape) -> Iterator[list[int]]:
     """Yield cells that may hold the gang, in groups of equal fragmentation.
 
-    Partially used cells come first, those with the least room left leading. Then
-    come empty cells, those inside the smallest maximal empty cell leading.
+    Partially used cells come first, in order of available accelerators, fewest first.
+    Then come empty cells, those inside the smallest maximal empty cell first.
     """
     kinds = tree.candidate_kinds(shape)
     for kind in kinds:
@@ -32,13 +32,13 @@
         buckets = index.partial[kind]
         for available in range(needed, size):
             if buckets.get(available):
-                yield _first(iter(buckets[available]))
-    around = {
+                yield _limit_group(iter(buckets[available]))
+    search_order = {
         (tree.kinds[h].size, h, k) for k in kinds for h in tree.containing_kinds(k)
     }
-    for _, holder, kind in sorted(around):
-        if index.maximal[holder]:
-            yield _first(_inside(tree, index, holder, kind))
+    for _, empty_kind, kind in sorted(search_order):
+        if index.maximal[empty_kind]:
+            yield _limit_group(_cells_in_empty(tree, index, empty_kind, kind))
 
 
 def place_in_cell(
@@ -49,10 +49,10 @@
     :param available: how many accelerators of a cell may be allocated
     :returns: one member per worker, or ``None`` if not all tasks fit
     """
-    if _tasks_in(pool_state, available, cell, shape) < shape.tasks:
+    if _count_fitting_tasks(pool_state, available, cell, shape) < shape.tasks:
         return None
     members: list[Member] = []
-    _fill_cell(pool_state, available, cell, shape, members)
+    _place_tasks(pool_state, available, cell, shape, members)
     return members
 
 
@@ -92,6 +92,9 @@
 def neighbour_score(pool_state: PoolState, ends_at: float) -> Callable[[int], float]:
     """Score cells by the distance of their neighbours' mean end from a job's end.
 
+    Neighbours are the jobs on the workers of the parent cell, which count only if it
+    has at most four workers' accelerators.
+
     :param ends_at: expected end of the job, in loop seconds
     """
     tree = pool_state.tree
@@ -112,22 +115,25 @@
     return score
 
 
-def _first(cells: Iterator[int]) -> list[int]:
+def _limit_group(cells: Iterator[int]) -> list[int]:
     return [cell for cell, _ in zip(cells, range(MAX_EQUAL_CELLS), strict=False)]
 
 
-def _inside(tree: CellTree, index: CellIndex, holder: int, kind: int) -> Iterator[int]:
-    for cell in index.maximal[holder]:
+def _cells_in_empty(
+    tree: CellTree, index: CellIndex, empty_kind: int, kind: int
+) -> Iterator[int]:
+    for cell in index.maximal[empty_kind]:
         yield from tree.cells_inside(cell, kind)
 
 
-def _tasks_in(
+def _count_fitting_tasks(
     pool_state: PoolState, available: AvailableCount, cell: int, shape: Shape
 ) -> int:
     row = pool_state.tree.cells[cell]
     if pool_state.tree.kinds[row.kind].profile is None:
         return sum(
-            _tasks_in(pool_state, available, child, shape) for child in row.children
+            _count_fitting_tasks(pool_state, available, child, shape)
+            for child in row.children
         )
     per_task = pool_state.accelerators_per_task(
         pool_state.tree.host_of_accelerator[row.start], shape
@@ -135,7 +141,7 @@
     return available(cell) // per_task if per_task else 0
 
 
-def _fill_cell(
+def _place_tasks(
     pool_state: PoolState,
     available: AvailableCount,
     cell: int,
@@ -147,7 +153,7 @@
     if pool_state.tree.kinds[row.kind].profile is not None:
         host = pool_state.tree.host_of_accelerator[row.start]
         taken: list[int] = []
-        _take(
+        _choose_accelerators(
             pool_state.tree,
             available,
             cell,
@@ -157,13 +163,14 @@
         result.append(pool_state.make_member(host, taken, shape.tasks))
         return
     room = {
-        child: _tasks_in(pool_state, available, child, shape) for child in row.children
+        child: _count_fitting_tasks(pool_state, available, child, shape)
+        for child in row.children
     }
     for child, given in _best_fit(room, shape.tasks):
-        _fill_cell(pool_state, available, child, shape._replace(tasks=given), result)
+        _place_tasks(pool_state, available, child, shape._replace(tasks=given), result)
 
 
-def _take(
+def _choose_accelerators(
     tree: CellTree, available: AvailableCount, cell: int, count: int, result: list[int]
 ) -> None:
     """Append ``count`` accelerators of a cell to ``result``."""
@@ -173,7 +180,7 @@
         return
     room = {child: available(child) for child in row.children}
     for child, given in _best_fit(room, count):
-        _take(tree, available, child, given, result)
+        _choose_accelerators(tree, available, child, given, result)
 
 
 def _best_fit(room: dict[int, int], wanted: int) -> Iterator[tuple[int, int]]:
--- a/libs/scheduling/src/bilberryhitch_scheduling/fair_queue.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/fair_queue.py
@@ -69,7 +69,7 @@
         self._parked: dict[SubQueue[T], None] = {}
         self._last_entry_number = 0
         self._groups_created = 0
-        self._taken_at: float | None = None
+        self._last_taken_at: float | None = None
         self._take_interval_s = MIN_RETRY_AFTER_S
 
     def __len__(self) -> int:
@@ -138,12 +138,12 @@
                 group.parent.virtual_time, group.weighted_service
             )
             group = group.parent
-        if self._taken_at is not None:
-            interval = max(0.0, now - self._taken_at)
+        if self._last_taken_at is not None:
+            interval = max(0.0, now - self._last_taken_at)
             self._take_interval_s += _INTERVAL_SMOOTHING * (
                 interval - self._take_interval_s
             )
-        self._taken_at = now
+        self._last_taken_at = now
         self.remove(entry)
         return entry.item
 
--- a/libs/scheduling/src/bilberryhitch_scheduling/gang_reservations.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/gang_reservations.py
@@ -22,19 +22,26 @@
 
     :ivar free_at: when all of them are expected to be free, in loop seconds
     :ivar first_free_at: the first such estimate; later ones do not change it
-    :ivar held: whether its workers are hidden from searches for free cells
+    :ivar hidden: whether its workers are hidden from searches for free cells
     :ivar protected_count: number of its workers that evictions of borrowers
         cannot free
     """
 
-    __slots__ = ("first_free_at", "free_at", "held", "hosts", "job", "protected_count")
+    __slots__ = (
+        "first_free_at",
+        "free_at",
+        "hidden",
+        "hosts",
+        "job",
+        "protected_count",
+    )
 
     def __init__(self, job: Job, hosts: tuple[str, ...], at: float) -> None:
         self.job = job
         self.hosts = hosts
         self.free_at = at
         self.first_free_at = at
-        self.held = False
+        self.hidden = False
         self.protected_count = 0
 
 
@@ -44,7 +51,7 @@
     def __init__(self, pool_state: PoolState) -> None:
         self._pool_state = pool_state
         self._by_job: dict[str, GangReservation] = {}
-        self._hosts: set[str] = set()
+        self._reserved_hosts: set[str] = set()
 
     def __contains__(self, job_id: str) -> bool:
         return job_id in self._by_job
@@ -55,8 +62,8 @@
     @property
     def full(self) -> bool:
         """Whether the limits allow no further reservation."""
-        enough = len(self._by_job) >= MAX_RESERVATIONS
-        return enough or len(self._hosts) > MAX_RESERVED_SHARE * len(
+        at_limit = len(self._by_job) >= MAX_RESERVATIONS
+        return at_limit or len(self._reserved_hosts) > MAX_RESERVED_SHARE * len(
             self._pool_state.hosts
         )
 
@@ -65,15 +72,15 @@
 
         :returns: whether a cell was found
         """
-        found = self._earliest(job, now)
+        found = self._find_earliest(job, now)
         if found is None:
             return False
         at, hosts = found
         reservation = GangReservation(job, hosts, at)
         reservation.protected_count = self._count_protected(hosts)
         self._by_job[job.job_id] = reservation
-        self._hosts.update(hosts)
-        self.hold(reservation, True)
+        self._reserved_hosts.update(hosts)
+        self.set_hidden(reservation, True)
         return True
 
     def remove(self, job_id: str) -> None:
@@ -81,8 +88,8 @@
         reservation = self._by_job.pop(job_id, None)
         if reservation is None:
             return
-        self.hold(reservation, False)
-        self._hosts.difference_update(reservation.hosts)
+        self.set_hidden(reservation, False)
+        self._reserved_hosts.difference_update(reservation.hosts)
 
     def refresh(self, now: float) -> None:
         """Update the estimates; move reservations that lost hosts to protected jobs."""
@@ -105,11 +112,11 @@
         overdue = now > reservation.first_free_at + BACKFILL_GRACE_S
         return not overdue and now + p90_s <= reservation.free_at
 
-    def hold(self, reservation: GangReservation, value: bool) -> None:
+    def set_hidden(self, reservation: GangReservation, value: bool) -> None:
         """Hide the workers from searches for free cells, or make them visible."""
-        if reservation.held == value:
+        if reservation.hidden == value:
             return
-        reservation.held = value
+        reservation.hidden = value
         for host in reservation.hosts:
             accelerators = self._pool_state.tree.accelerators_of(host)
             if value:
@@ -117,15 +124,17 @@
             else:
                 self._pool_state.free.unmark(accelerators)
 
-    def _earliest(self, job: Job, now: float) -> tuple[float, tuple[str, ...]] | None:
+    def _find_earliest(
+        self, job: Job, now: float
+    ) -> tuple[float, tuple[str, ...]] | None:
         best: tuple[float, tuple[str, ...]] | None = None
-        for cell in self._cells(job):
-            found = self._earliest_in(cell, job, now)
+        for cell in self._cells_to_compare(job):
+            found = self._earliest_in_cell(cell, job, now)
             if found is not None and (best is None or found[0] < best[0]):
                 best = found
         return best
 
-    def _cells(self, job: Job) -> Iterator[int]:
+    def _cells_to_compare(self, job: Job) -> Iterator[int]:
         tree, free = self._pool_state.tree, self._pool_state.free
         count = 0
         for kind in tree.candidate_kinds(job.shape):
@@ -136,13 +145,13 @@
                 count += 1
                 yield cell
 
-    def _earliest_in(
+    def _earliest_in_cell(
         self, cell: int, job: Job, now: float
     ) -> tuple[float, tuple[str, ...]] | None:
         times = sorted(
             (self._is_protected(host), self._free_at(host, now), position, host)
             for position, (host, _) in enumerate(self._pool_state.tree.hosts_in(cell))
-            if host not in self._hosts and self._pool_state.usable(host)
+            if host not in self._reserved_hosts and self._pool_state.usable(host)
         )
         tasks_left = job.shape.tasks
         hosts: list[str] = []
--- a/libs/scheduling/src/bilberryhitch_scheduling/guaranteed_cells.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/guaranteed_cells.py
@@ -43,16 +43,16 @@
     """All guarantees with cells of one size, in table order.
 
     :ivar kinds: kinds of cells that can hold such a guaranteed cell
-    :ivar rows: number of guaranteed cells by guarantee
+    :ivar counts: number of guaranteed cells by guarantee
     """
 
-    __slots__ = ("kinds", "rows", "shape", "size")
+    __slots__ = ("counts", "kinds", "shape", "size")
 
     def __init__(self, tree: CellTree, size: int) -> None:
         self.size = size
         self.shape: Shape = tree.guarantee_shape(size)
         self.kinds = tree.candidate_kinds(self.shape)
-        self.rows: dict[GuaranteeKey, int] = {}
+        self.counts: dict[GuaranteeKey, int] = {}
 
 
 class GuaranteedCells:
@@ -80,7 +80,7 @@
         self._counts: dict[GuaranteeKey, int] = {}
         self._by_account: dict[str, list[GuaranteeKey]] = {}
         self._changes = 0
-        self._cached: tuple[int, int, tuple[int, ...]] = (-1, -1, ())
+        self._cached_shortage: tuple[int, int, tuple[int, ...]] = (-1, -1, ())
         self.set_rows(rows)
 
     @property
@@ -103,7 +103,7 @@
             size_class = size_classes.get(size) or size_classes.setdefault(
                 size, _SizeClass(self._tree, size)
             )
-            size_class.rows[key] = count
+            size_class.counts[key] = count
         self._size_classes = [
             size_classes[size] for size in sorted(size_classes, reverse=True)
         ]
@@ -181,11 +181,11 @@
 
     def shortage(self) -> tuple[int, ...]:
         """Return how many unbound cells do not fit, per cell size, large first."""
-        changes, version, found = self._cached
+        changes, version, found = self._cached_shortage
         if changes == self._changes and version == self._reclaimable.version:
             return found
         found = self._count_shortage()
-        self._cached = (self._changes, self._reclaimable.version, found)
+        self._cached_shortage = (self._changes, self._reclaimable.version, found)
         return found
 
     def shortfall(self, data_centre: str) -> list[GuaranteeShortfall]:
@@ -208,7 +208,7 @@
         used: dict[int, int] = {}
         found = []
         for size_class in self._size_classes:
-            wanted = sum(self.unbound_count(key) for key in size_class.rows)
+            wanted = sum(self.unbound_count(key) for key in size_class.counts)
             for kind in size_class.kinds:
                 if not wanted:
                     break
@@ -227,7 +227,7 @@
     ) -> dict[GuaranteeKey, int]:
         """Return the missing cells by guarantee, taken from the last rows first."""
         missing: dict[GuaranteeKey, int] = {}
-        for key in reversed(size_class.rows):
+        for key in reversed(size_class.counts):
             if not shortage:
                 break
             given = min(shortage, self.unbound_count(key))
--- a/libs/scheduling/src/bilberryhitch_scheduling/lifecycle.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/lifecycle.py
@@ -13,14 +13,14 @@
 
     :ivar allocator: replaced by the scheduler when the set of workers changes
     :ivar jobs: all jobs by id
-    :ivar clearing: allocated jobs that wait for evictions of borrowers, by id
+    :ivar awaiting_evictions: allocated jobs that wait for evictions of borrowers, by id
     :ivar capacity_freed: whether capacity became free since the queue was last tried
     """
 
     def __init__(self, max_queued: int) -> None:
         self.allocator: Allocator
         self.jobs: dict[str, Job] = {}
-        self.clearing: dict[str, Job] = {}
+        self.awaiting_evictions: dict[str, Job] = {}
         self.shares = AccountShares()
         self.capacity_freed = False
         self.queue: FairQueue[Job] = FairQueue(
@@ -54,7 +54,7 @@
 
     def requeue_unusable(self) -> None:
         """Requeue jobs that wait for evictions on a worker that takes no new work."""
-        for job in list(self.clearing.values()):
+        for job in list(self.awaiting_evictions.values()):
             if not all(
                 self.allocator.pool_state.usable(member.host) for member in job.members
             ):
@@ -87,7 +87,7 @@
 
     def decide_start(self, job: Job, now: float) -> Start:
         """Return the start of a job that waits for no more evictions."""
-        del self.clearing[job.job_id]
+        del self.awaiting_evictions[job.job_id]
         job.stage = "starting"
         job.started_at = now
         job.was_started = True
@@ -107,10 +107,10 @@
         ran_s = max(0.0, now - job.started_at) if job.stage != "clearing" else 0.0
         self.charge(job, ran_s - job.charged_s)
         job.charged_s = 0.0
-        self.clearing.pop(job.job_id, None)
+        self.awaiting_evictions.pop(job.job_id, None)
         job.pending_evictions = set()
         job.evicting = False
-        for waiting in self.clearing.values():
+        for waiting in self.awaiting_evictions.values():
             waiting.pending_evictions.discard(job.job_id)
         self.queue.refresh(job.spec.client_account)
         self.capacity_freed = True
--- a/libs/scheduling/src/bilberryhitch_scheduling/preemption.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/preemption.py
@@ -44,11 +44,11 @@
         children = pool_state.tree.cells[cell].children
         return sum(available_outside(child) for child in children)
 
-    work = partial(eviction_cost, pool_state, now=now)
+    cost = partial(eviction_cost, pool_state, now=now)
     groups = islice(
         search_cells(pool_state.tree, pool_state.reclaimable, shape), MAX_GROUPS_TRIED
     )
-    for cell in sorted(chain.from_iterable(groups), key=work):
+    for cell in sorted(chain.from_iterable(groups), key=cost):
         members = place_in_cell(pool_state, available_outside, cell, shape)
         if members is not None:
             yield members
--- a/libs/scheduling/src/bilberryhitch_scheduling/run_time_estimates.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/run_time_estimates.py
@@ -33,15 +33,15 @@
             del runs.ordered[bisect_left(runs.ordered, oldest)]
 
     def quantile(
-        self, client_account: str, kind: str, declared_s: float, share: float
+        self, client_account: str, kind: str, declared_s: float, fraction: float
     ) -> float:
         """Return a run-time quantile in seconds.
 
         :param declared_s: returned until ``MIN_RUNS`` runs were observed
-        :param share: the quantile between 0 and 1, such as 0.9 for p90
+        :param fraction: the quantile between 0 and 1, such as 0.9 for p90
         """
         runs = self._runs.get((client_account, kind))
         if runs is None or len(runs.ordered) < MIN_RUNS:
             return declared_s
         last = len(runs.ordered) - 1
-        return runs.ordered[min(last, int(share * len(runs.ordered)))]
+        return runs.ordered[min(last, int(fraction * len(runs.ordered)))]
--- a/libs/scheduling/src/bilberryhitch_scheduling/scheduler.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/scheduler.py
@@ -106,7 +106,7 @@
         self._lifecycle.bind_adopted()
         decisions: list[Decision] = [
             self._lifecycle.decide_start(job, now)
-            for job in list(self._lifecycle.clearing.values())
+            for job in list(self._lifecycle.awaiting_evictions.values())
             if not job.pending_evictions
         ]
         self._allocator.reservations.refresh(now)
@@ -259,7 +259,7 @@
 
     def _rebuild_cells(self) -> None:
         """Build new cells for a changed set of workers and adopt the allocated jobs."""
-        for job in list(self._lifecycle.clearing.values()):
+        for job in list(self._lifecycle.awaiting_evictions.values()):
             self._lifecycle.release(job, 0.0)
             self._lifecycle.enqueue(job)
         allocated = [
@@ -291,7 +291,7 @@
         self._lifecycle.record_allocation(job)
         job.pending_evictions = set(victims)
         job.stage = "clearing"
-        self._lifecycle.clearing[job.job_id] = job
+        self._lifecycle.awaiting_evictions[job.job_id] = job
         if not victims:
             return [self._lifecycle.decide_start(job, now)]
         return self._lifecycle.decide_evictions(job)
--- a/tests/machines/test_point1_reclaim.py
+++ b/tests/machines/test_point1_reclaim.py
@@ -403,7 +403,7 @@
 
 def reduce_first_rows(self, need, short):
     missing = {}
-    for key in need.rows:
+    for key in need.counts:
         given = min(short, self.unbound_count(key))
         short -= given
         if given:
@@ -451,7 +451,7 @@
         "allowed_accelerators",
         lambda *args: 10**6,
     ),
-    "size of a guarantee": (Allocator, "_within", lambda *args: True),
+    "size of a guarantee": (Allocator, "_stays_within_guarantee", lambda *args: True),
     "check of bindings": (Allocator, "_shortage_not_grown", lambda self, before: True),
     "reclaim": (Allocator, "_bind_new_cell", lambda self, job, key, now: None),
 }
