--- a/libs/jobs/src/bilberryhitch_jobs/job_api.py
+++ b/libs/jobs/src/bilberryhitch_jobs/job_api.py
@@ -188,15 +188,15 @@
         return JobReply(kinds[result])
 
     def _not_run(self, reason: str, request_id: str) -> JobReply:
-        silence_s = self._store_silence_s
+        store_silence_s = self._store_silence_s
         retry_after_s = RETRY_AFTER_S
-        if silence_s > LONG_OUTAGE_AFTER_S:
+        if store_silence_s > LONG_OUTAGE_AFTER_S:
             retry_after_s = LONG_RETRY_AFTER_S
         log(
             events.CALL_REFUSED,
             request_id=request_id,
             reason=reason,
-            store_silent_s=round(min(silence_s, 1e6), 3),
+            store_silent_s=round(min(store_silence_s, 1e6), 3),
             retry_after_s=retry_after_s,
         )
         return JobReply(ReplyKind.NOT_RUN, retry_after_s=retry_after_s)
--- a/libs/jobs/src/bilberryhitch_jobs/job_operations.py
+++ b/libs/jobs/src/bilberryhitch_jobs/job_operations.py
@@ -118,9 +118,12 @@
             if state is None:
                 return OperationResult.ABSENT
             if state not in FINISHED_STATES:
-                mark = RowWrite(JOBS_TABLE, job + CANCEL_SUFFIX, b"1")
+                cancellation = RowWrite(JOBS_TABLE, job + CANCEL_SUFFIX, b"1")
                 await self._store.commit(
-                    (), (mark,), partition=job_partition(job), timeout_s=timeout_s
+                    (),
+                    (cancellation,),
+                    partition=job_partition(job),
+                    timeout_s=timeout_s,
                 )
             return OperationResult.DONE
 
--- a/libs/jobs/src/bilberryhitch_jobs/table_watcher.py
+++ b/libs/jobs/src/bilberryhitch_jobs/table_watcher.py
@@ -41,7 +41,7 @@
         self._on_change = on_change
         self._partitions = partitions
         self._revision: int | None = None
-        self._lost = False
+        self._unreachable = False
 
     async def run(self) -> None:
         """Watch the table until cancelled."""
@@ -74,13 +74,13 @@
 
     def _note_response(self) -> None:
         self.last_response_at = time.monotonic()
-        if self._lost:
-            self._lost = False
+        if self._unreachable:
+            self._unreachable = False
             log(events.DEPENDENCY_REGAINED, dependency=f"store table {self._table}")
 
     def _note_failure(self, error: Exception) -> None:
-        if not self._lost:
-            self._lost = True
+        if not self._unreachable:
+            self._unreachable = True
             log(
                 events.DEPENDENCY_LOST,
                 dependency=f"store table {self._table}",
--- a/libs/jobs/tests/test_job_api.py
+++ b/libs/jobs/tests/test_job_api.py
@@ -56,21 +56,21 @@
         self.failures = list(failures)
         self.calls = 0
 
-    def _fail(self, *, done):
+    def _fail(self, *, took_effect):
         self.calls += 1
         if not self.failures:
             return
         failure = self.failures.pop(0)
         if failure == "refused":
             raise StoreRefused("call", "503")
-        if failure == "lost" or not done:
+        if failure == "lost" or not took_effect:
             raise StoreUnknown("call", failure)
 
     def put(self, table, key, value, partition=""):
         self.rows[table, partition, key] = StoreRow(table, key, value, 1)
 
     async def read(self, table, first="", last="", *, partition="", timeout_s):
-        self._fail(done=False)
+        self._fail(took_effect=False)
         rows = [
             row
             for (row_table, row_partition, key), row in sorted(self.rows.items())
@@ -85,14 +85,14 @@
                 (each.table, partition, each.key) in self.rows for each in expected
             ]
             if any(present):
-                self._fail(done=True)
+                self._fail(took_effect=True)
                 raise CommitConflict(())
             for each in writes:
                 self.put(each.table, each.key, each.value, partition)
         if next_failure == ["lost_undone"]:
             self.failures.pop(0)
             raise StoreUnknown("call", "lost")
-        self._fail(done=True)
+        self._fail(took_effect=True)
         return 1
 
 
@@ -226,7 +226,7 @@
     assert job_api(Store(), public=True).admit("h", "/q/", None).account == ""
 
 
-def ask(store, key, method="get_state"):
+def call_api(store, key, method="get_state"):
     async def run():
         api = job_api(store)
         call = api.admit("h", "/q/" + JOB, key)
@@ -239,16 +239,16 @@
     """Guards against one client account reading or cancelling a job of another."""
     store = Store()
     submit(store)
-    assert ask(store, "k").state is JobState.PENDING
-    assert ask(store, "other").kind is ReplyKind.NO_JOB
-    assert ask(store, "other", "cancel").kind is ReplyKind.NO_JOB
+    assert call_api(store, "k").state is JobState.PENDING
+    assert call_api(store, "other").kind is ReplyKind.NO_JOB
+    assert call_api(store, "other", "cancel").kind is ReplyKind.NO_JOB
 
 
 def test_cancelling_changes_the_state_of_unfinished_jobs_only():
     store = Store()
     submit(store)
-    assert ask(store, "k", "cancel").kind is ReplyKind.CANCELLED
-    assert ask(store, "k").state is JobState.CANCELLED
+    assert call_api(store, "k", "cancel").kind is ReplyKind.CANCELLED
+    assert call_api(store, "k").state is JobState.CANCELLED
     done = encode_progress(JobProgress(JobState.COMPLETED, "a", {}, 5.0))
     store.put("progress", JOB, done)
-    assert ask(store, "k").state is JobState.COMPLETED
+    assert call_api(store, "k").state is JobState.COMPLETED
