--- a/libs/model/src/bilberryhitch_model/parsing.py
+++ b/libs/model/src/bilberryhitch_model/parsing.py
@@ -111,7 +111,7 @@
 
 
 def shorten_value(value: Any) -> Any:
-    """Return a value as it is original_text in an error.
+    """Return a value as it is shown in an error.
 
     Strings, lists and objects become text of at most ``MAX_VALUE_CHARS`` characters.
     """
--- a/libs/platform/src/bilberryhitch_platform/retry_budget.py
+++ b/libs/platform/src/bilberryhitch_platform/retry_budget.py
@@ -6,8 +6,8 @@
 
 import random
 
-RETRY_RATIO = 0.1
-CAPACITY = 10.0
+RETRY_RATIO = 0.1  # tokens per call
+CAPACITY = 10.0  # tokens
 INITIAL_TOKENS = 1.0  # allows one retry before the calls have earned a token
 BASE_DELAY_S = 0.05
 MAX_DELAY_S = 2.0
