--- a/libs/testing/src/bilberryhitch_testing/__init__.py
+++ b/libs/testing/src/bilberryhitch_testing/__init__.py
@@ -1,6 +1,6 @@
-"""Event loop with virtual time and fault injection for tests.
+"""Virtual-time event loop and fault injection for tests.
 
-A planner with scripted workers is in :mod:`.planner_harness`.
+The test harness of the planner is in :mod:`.planner_harness`.
 """
 
 from .faults import FaultyTables
--- a/libs/testing/src/bilberryhitch_testing/faults.py
+++ b/libs/testing/src/bilberryhitch_testing/faults.py
@@ -1,4 +1,4 @@
-"""Fault injection around the platform's interfaces."""
+"""Fault injection for the table service."""
 
 import asyncio
 from collections.abc import Sequence
@@ -13,13 +13,14 @@
 
 
 class FaultyTables:
-    """One client's view of a table service, with switchable faults.
+    """Wrapper of a table service that injects faults into the calls of one client.
 
     :ivar down: every call fails without effect
-    :ivar slow_s: seconds added before every call
-    :ivar lose_answers: how many transactions apply and then lose their answer
-    :ivar paused: while set, calls wait before they reach the store, as those
-        of a stopped process do
+    :ivar slow_s: delay before every call, in seconds
+    :ivar lose_answers: number of the next transactions that are applied and then fail
+        as if their answer was lost
+    :ivar reads: number of reads that reached the store
+    :ivar writes: number of transactions that reached the store
     """
 
     def __init__(self, inner: TableService) -> None:
@@ -29,25 +30,25 @@
         self.lose_answers = 0
         self.reads = 0
         self.writes = 0
-        self._running = asyncio.Event()
-        self._running.set()
+        self._unpaused = asyncio.Event()
+        self._unpaused.set()
 
     @property
     def paused(self) -> bool:
-        """Whether calls are held back."""
-        return not self._running.is_set()
+        """Whether calls wait before they reach the store."""
+        return not self._unpaused.is_set()
 
     def pause(self) -> None:
-        """Hold every call back until :meth:`resume`."""
-        self._running.clear()
+        """Let every call wait until :meth:`resume`, as if the process was stopped."""
+        self._unpaused.clear()
 
     def resume(self) -> None:
-        """Let held calls go on."""
-        self._running.set()
+        """Resume the waiting calls."""
+        self._unpaused.set()
 
     async def get(self, key: str) -> Row | None:
         """Return the row or ``None``."""
-        await self._before("get")
+        await self._inject_faults("get")
         self.reads += 1
         return await self._inner.get(key)
 
@@ -55,15 +56,18 @@
         self, prefix: str, since: int = 0, after: str = "", limit: int = 1000
     ) -> Page:
         """Return one page of rows."""
-        await self._before("scan")
+        await self._inject_faults("scan")
         self.reads += 1
         return await self._inner.scan(prefix, since, after, limit)
 
     async def transact(
         self, expects: Sequence[Expect], writes: Sequence[Write]
     ) -> Result[int, StoreConflict]:
-        """Apply all writes or none; may lose the answer."""
-        await self._before("transact")
+        """Apply all writes or none.
+
+        :raises StoreAnswerLost: the transaction was applied; its answer is lost
+        """
+        await self._inject_faults("transact")
         self.writes += 1
         result = await self._inner.transact(expects, writes)
         if self.lose_answers > 0:
@@ -71,8 +75,8 @@
             raise StoreAnswerLost("transact")
         return result
 
-    async def _before(self, call: str) -> None:
-        await self._running.wait()
+    async def _inject_faults(self, call: str) -> None:
+        await self._unpaused.wait()
         if self.slow_s:
             await asyncio.sleep(self.slow_s)
         if self.down:
--- a/libs/testing/src/bilberryhitch_testing/planner_harness.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_harness.py
@@ -1,4 +1,4 @@
-"""A planner with workers that say what the test wants, on a clock that it owns."""
+"""Test harness of the planner: scripted workers and a clock that the test sets."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -33,19 +33,22 @@
 
 
 def queue(name: str = "urgent", priority: int = 0, attempts: int = 2) -> Queue:
-    """Return a route."""
+    """Return a job queue; the platform's configuration calls it a route."""
     return Queue(
         name, "h", f"/{name}/", "pool", 3.0, priority, attempts, 2.0, 1.0, False, None
     )
 
 
-def step(count: int = 1, gpu: int = 1, **terms: Any) -> Step:
-    """Return a step of equal tasks of about two seconds."""
-    return Step(count, Resources(1_000, 1_000, gpu), 2.0, **terms)
+def step(count: int = 1, gpu: int = 1, **fields: Any) -> Step:
+    """Return a step of equal tasks with an estimated run time of two seconds."""
+    return Step(count, Resources(1_000, 1_000, gpu), 2.0, **fields)
 
 
 def configuration(guaranteed: int = 0) -> Configuration:
-    """Return two routes and two accounts, the first with a guarantee."""
+    """Return two queues and two accounts.
+
+    :param guaranteed: GPUs that are guaranteed to the first account
+    """
     return Configuration(
         1,
         (queue(), queue("batch", 2)),
@@ -66,22 +69,36 @@
     account: str = "a",
     schedule: Schedule | None = None,
 ) -> JobRequest:
-    """Return an accepted job."""
+    """Return an accepted job.
+
+    :param route: queue of the job; by default the urgent one
+    """
     return JobRequest(
         job, route or queue(), account, "spec", steps, START_UNIX_S, schedule
     )
 
 
 def entry(name: str, rack: str = "r1", **changes: Any) -> WorkerEntry:
-    """Return a worker's registration."""
-    plain = WorkerEntry(
+    """Return a worker's registration.
+
+    :param changes: fields that differ from the default
+    """
+    registration = WorkerEntry(
         name, "pool", "ip:1", "dc", CAPACITY, frozenset({"a", rack}), rack
     )
-    return plain._replace(**changes)
+    return registration._replace(**changes)
 
 
 class PlannerHarness:
-    """A planner with reported workers; ``now`` is moved by the test."""
+    """A planner and its registered workers.
+
+    :param inherited_revision: store revision; an earlier planner may have started jobs
+        accepted up to it
+    :param inherited_until: time at which every worker lease of the earlier planner has
+        expired, in seconds
+    :param guaranteed: GPUs that are guaranteed to account ``a``
+    :ivar now: time in seconds; the test sets it
+    """
 
     def __init__(
         self,
@@ -104,7 +121,7 @@
         progress: JobProgress | None = None,
         revision: int = 100,
     ) -> None:
-        """Accept a job."""
+        """Add an accepted job, stored at a revision, to the planner."""
         progress = progress or JobProgress(JobState.PENDING, job.account, {})
         self.planner.confirm_lease(revision)
         self.planner.add_job(
@@ -118,7 +135,12 @@
         ended: Iterable[EndedTask] = (),
         born_ms: int = 0,
     ) -> None:
-        """Let a worker list its runs and extend its lease."""
+        """Pass a worker's heartbeat reply to the planner and extend the worker's lease.
+
+        :param running: runs in progress that the worker lists
+        :param ended: ended runs that the worker lists
+        :param born_ms: Unix time of the worker's start; 0 if it is not reported
+        """
         self.planner.apply_heartbeat(
             worker,
             HeartbeatReply(self.now, born_ms, tuple(running), tuple(ended)),
@@ -126,12 +148,12 @@
             now=self.now,
             unix_s=START_UNIX_S + self.now,
         )
-        held = self.planner.workers.get(worker)
-        if held is not None:
-            held.lease_deadline(self.now + LEASE_S, self.now)
+        known_worker = self.planner.workers.get(worker)
+        if known_worker is not None:
+            known_worker.lease_deadline(self.now + LEASE_S, self.now)
 
     def send_all_heartbeats(self) -> None:
-        """Let all workers list what the planner expects there."""
+        """Pass a heartbeat reply of each worker with the runs that the planner expects."""
         for name, worker in list(self.planner.workers.items()):
             running = [
                 RunningTask(run.task, run.number, "", self.now)
@@ -140,17 +162,17 @@
             self.send_heartbeat(name, running)
 
     def plan(self) -> list[Order]:
-        """Return the orders of one round."""
+        """Run a planning round and return its orders."""
         self.planner.stored_roster = frozenset(self.planner.workers)
         self.planner.tick(now=self.now, unix_s=START_UNIX_S + self.now)
         return self.planner.plan(now=self.now, unix_s=START_UNIX_S + self.now)
 
     def plan_starts(self) -> list[StartOrder]:
-        """Return the starts of one round."""
+        """Run a planning round and return its start orders."""
         return [order for order in self.plan() if isinstance(order, StartOrder)]
 
     def start_all(self) -> list[StartOrder]:
-        """Return the starts of one round, each of them answered."""
+        """Run a planning round and confirm its start orders, which are returned."""
         orders = self.plan_starts()
         for order in orders:
             self.answer_start(order)
@@ -162,7 +184,10 @@
         outcome: StartOutcome = StartOutcome.STARTED,
         certain: bool = True,
     ) -> None:
-        """Answer a start."""
+        """Pass the outcome of a start order to the planner.
+
+        :param certain: whether every earlier attempt of the order got an answer
+        """
         self.planner.apply_start_outcome(
             order,
             outcome,
@@ -177,12 +202,12 @@
 
 
 def running(order: StartOrder, percent: float = 10.0) -> RunningTask:
-    """Return the listing of a run."""
+    """Return a started run as the worker lists it."""
     return RunningTask(order.task, order.run, "", percent)
 
 
 def ended(
     order: StartOrder, how: EndKind = EndKind.DONE, sequence: int = 1, saved: str = ""
 ) -> EndedTask:
-    """Return the listing of an end."""
+    """Return a run of a start order that has ended, as the worker lists it."""
     return EndedTask(sequence, order.task, order.run, how, saved)
--- a/libs/testing/src/bilberryhitch_testing/virtual_time.py
+++ b/libs/testing/src/bilberryhitch_testing/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time advances only when every task is waiting."""
+"""Event loop with virtual time, which advances only when every task is waiting."""
 
 import asyncio
 import selectors
@@ -8,8 +8,8 @@
 T = TypeVar("T")
 
 
-class _AdvancingSelector(selectors.SelectSelector):
-    """Selector that moves the clock forward instead of waiting."""
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """Selector that advances the clock by the timeout instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -19,21 +19,21 @@
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError("all tasks wait and no timer is set")
+            raise RuntimeError("deadlock: all tasks are waiting and no timer is set")
         self.time_s += max(timeout, 0.0)
         return super().select(0)
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Event loop for tests that own time; sleeping costs no real time."""
+    """Event loop on which sleeping advances the clock and takes no real time."""
 
     def __init__(self) -> None:
-        self._advancing = _AdvancingSelector()
-        super().__init__(self._advancing)
+        self._time_selector = _VirtualTimeSelector()
+        super().__init__(self._time_selector)
 
     def time(self) -> float:
-        """Return virtual seconds since the loop was made."""
-        return self._advancing.time_s
+        """Return the virtual seconds since the loop was created."""
+        return self._time_selector.time_s
 
     def advance(self, seconds: float) -> None:
         """Run everything that is due within the next ``seconds``."""
@@ -41,16 +41,16 @@
 
 
 def run_virtual(main: Coroutine[Any, Any, T]) -> T:
-    """Run ``main`` to its end on a new virtual-time loop."""
+    """Run a coroutine on a new virtual-time loop and return its result."""
     loop = VirtualTimeLoop()
     try:
         return loop.run_until_complete(main)
     finally:
-        _cancel_all(loop)
+        _cancel_tasks(loop)
         loop.close()
 
 
-def _cancel_all(loop: asyncio.AbstractEventLoop) -> None:
+def _cancel_tasks(loop: asyncio.AbstractEventLoop) -> None:
     tasks = asyncio.all_tasks(loop)
     for task in tasks:
         task.cancel()
--- a/libs/testing/tests/test_faults.py
+++ b/libs/testing/tests/test_faults.py
@@ -6,7 +6,7 @@
 from bilberryhitch_testing import FaultyTables, run_virtual
 
 
-def test_down_has_no_effect_and_lost_answer_has_one():
+def test_refused_write_has_no_effect_and_lost_answer_has_one():
     async def main():
         inner = MemoryTables()
         tables = FaultyTables(inner)
--- a/libs/testing/tests/test_virtual_time.py
+++ b/libs/testing/tests/test_virtual_time.py
@@ -13,7 +13,7 @@
     assert run_virtual(main()) >= 3600
 
 
-def test_advance_runs_what_is_due():
+def test_advance_runs_due_callbacks():
     loop = VirtualTimeLoop()
     fired = []
     loop.call_later(5, fired.append, "first")
