--- a/libs/testing/src/bilberryhitch_testing/planner_harness.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_harness.py
@@ -153,7 +153,7 @@
             known_worker.lease_deadline(self.now + LEASE_S, self.now)
 
     def send_all_heartbeats(self) -> None:
-        """Pass a heartbeat reply of each worker with the runs that the planner expects."""
+        """Pass a heartbeat reply of every worker, which lists the expected runs."""
         for name, worker in list(self.planner.workers.items()):
             running = [
                 RunningTask(run.task, run.number, "", self.now)
--- a/tests/adapter/test_decoding.py
+++ b/tests/adapter/test_decoding.py
@@ -1,4 +1,4 @@
-"""Documents of the platform, whole and broken."""
+"""Decoding of valid and invalid documents of the platform."""
 
 import msgspec
 import pytest
@@ -12,7 +12,7 @@
 from bilberryhitch_model.errors import BadInput
 from bilberryhitch_planner import EndKind
 
-ENTRY = {
+REGISTRATION = {
     "backend": "pool",
     "address": "10.0.0.9:8080",
     "zone": "ruwi",
@@ -27,16 +27,18 @@
     return StoreRow("servers", key, value, 3)
 
 
-def test_a_worker_is_named_by_its_rows_key():
-    worker = decode_worker(row(ENTRY))
+def test_worker_is_identified_by_the_key_of_its_row():
+    worker = decode_worker(row(REGISTRATION))
     assert worker.worker == "i-1"
     assert worker.rack == "r1-3"
     assert worker.capacity == Resources(16000, 32768, 8)
     assert not worker.draining
 
 
-def test_a_draining_worker_tells_its_remaining_time():
-    worker = decode_worker(row({**ENTRY, "state": "draining", "remaining-ms": 1500}))
+def test_draining_worker_has_its_remaining_time():
+    worker = decode_worker(
+        row({**REGISTRATION, "state": "draining", "remaining-ms": 1500})
+    )
     assert worker.draining
     assert worker.remaining_s == 1.5
 
@@ -47,20 +49,21 @@
         b"\xff\x00",
         [],
         {},
-        {**ENTRY, "state": "resting"},
-        {**ENTRY, "capacity": {"cpu": "many"}},
-        {**ENTRY, "capacity": 7},
-        {**ENTRY, "address": "nowhere"},
-        {**ENTRY, "address": None},
-        {**ENTRY, "labels": "a"},
-        {name: value for name, value in ENTRY.items() if name != "backend"},
+        {**REGISTRATION, "state": "resting"},
+        {**REGISTRATION, "capacity": {"cpu": "many"}},
+        {**REGISTRATION, "capacity": 7},
+        {**REGISTRATION, "address": "nowhere"},
+        {**REGISTRATION, "address": None},
+        {**REGISTRATION, "labels": "a"},
+        {name: value for name, value in REGISTRATION.items() if name != "backend"},
     ],
 )
-def test_an_entry_of_another_writer_names_no_worker(document):
+def test_malformed_worker_row_is_ignored(document):
+    # Other writers of the table may store rows in another format.
     assert decode_worker(row(document)) is None
 
 
-def test_a_job_is_read_whole():
+def test_all_fields_of_a_job_are_decoded():
     step = {
         "count": 3,
         "cpu": 500,
@@ -113,14 +116,14 @@
         ({"steps": [{"count": 1_201}]}, "steps"),
     ],
 )
-def test_a_broken_job_names_its_field(document, field):
+def test_error_of_an_invalid_job_names_the_field(document, field):
     body = document if isinstance(document, bytes) else msgspec.json.encode(document)
-    with pytest.raises(BadInput) as caught:
+    with pytest.raises(BadInput) as error:
         decode_job(body)
-    assert caught.value.field == field
+    assert error.value.field == field
 
 
-def test_a_listing_is_read_with_and_without_a_load():
+def test_worker_report_is_decoded_with_and_without_load():
     report = decode_hold(
         {
             "clock-ms": 482113,
@@ -135,7 +138,7 @@
     assert report.ended[0].how is EndKind.DONE
 
 
-def test_a_configuration_finds_the_longest_prefix():
+def test_route_with_the_longest_matching_prefix_is_found():
     route = {"host": "h", "backend": "pool", "priority": 0}
     configuration = decode_configuration(
         msgspec.json.encode(
--- a/tests/adapter/test_machines.py
+++ b/tests/adapter/test_machines.py
@@ -1,4 +1,4 @@
-"""The clients of the machines' interface and of workers, against a listener."""
+"""Clients of the machine API and of workers, tested against an HTTP listener."""
 
 import asyncio
 import random
@@ -22,29 +22,32 @@
 )
 
 
-def answering(*answers):
-    """Return a handler that gives the answers in turn and a list of the requests."""
-    seen = []
+def scripted_handler(*answers):
+    """Return a handler and the list of the requests that it received.
+
+    :param answers: status and body of each answer; the last one repeats
+    """
+    requests = []
 
     async def handle(request):
-        seen.append((request.path_qs, dict(request.headers), await request.read()))
-        status, body = answers[min(len(seen), len(answers)) - 1]
+        requests.append((request.path_qs, dict(request.headers), await request.read()))
+        status, body = answers[min(len(requests), len(answers)) - 1]
         return web.Response(status=status, body=msgspec.json.encode(body))
 
-    return handle, seen
+    return handle, requests
 
 
-def talk(scene, *answers):
-    """Run a scene with a client and return its result and the requests."""
+def run_with_machine_client(scenario, *answers):
+    """Run a scenario with a client; return its result and the received requests."""
 
     async def run():
-        handle, seen = answering(*answers)
+        handle, requests = scripted_handler(*answers)
         listener = Listener(handle, random.Random(1))
         await listener.start()
         client = MachineClient(lambda: listener.address, "host-1")
         await client.start()
         try:
-            return await scene(client), seen
+            return await scenario(client), requests
         finally:
             await client.close()
             await listener.close()
@@ -52,22 +55,24 @@
     return asyncio.run(run())
 
 
-def test_the_list_of_machines_is_read_page_by_page():
+def test_all_pages_of_the_machine_list_are_read():
     machine = {"machine": "m-1", "pool": "p", "state": "up", "id": "i-1"}
     pages = (
         (200, {"machines": [machine], "next-token": "t 2"}),
         (200, {"machines": [{**machine, "state": "upkeep"}], "next-token": None}),
     )
-    machines, seen = talk(lambda client: client.list_machines(), *pages)
+    machines, requests = run_with_machine_client(
+        lambda client: client.list_machines(), *pages
+    )
     assert machines == (Machine("m-1", "i-1", True), Machine("m-1", "i-1", False))
-    assert seen[1][0].endswith("?page-token=t+2")
+    assert requests[1][0].endswith("?page-token=t+2")
 
 
-def test_half_a_list_is_no_list():
-    """Guards against workers taken for gone because a page was missing."""
+def test_incomplete_machine_list_is_an_error():
+    """Guards against workers treated as gone because a page of the list is missing."""
     pages = ((200, {"machines": [], "next-token": "2"}), (429, {}))
     with pytest.raises(MachinesUnknown):
-        talk(lambda client: client.list_machines(), *pages)
+        run_with_machine_client(lambda client: client.list_machines(), *pages)
 
 
 @pytest.mark.parametrize(
@@ -83,17 +88,17 @@
         (503, {}, UpkeepOutcome.UNKNOWN),
     ],
 )
-def test_answers_to_an_order_of_upkeep(status, body, outcome):
-    found, seen = talk(
+def test_upkeep_outcome_follows_the_answer(status, body, outcome):
+    actual, requests = run_with_machine_client(
         lambda client: client.begin_upkeep("m-1", 3, token=12), (status, body)
     )
-    assert found is outcome
-    _, headers, sent = seen[0]
+    assert actual is outcome
+    _, headers, sent = requests[0]
     assert (headers["Lease-Holder"], headers["Fencing-Token"]) == ("host-1", "12")
     assert msgspec.json.decode(sent) == {"machine": "m-1", "wave": 3}
 
 
-def test_a_wave_is_read_and_its_state_written():
+def test_wave_is_decoded_and_its_state_encoded():
     plain = {"wave": 2, "machines": ["m-1"], "duration-s": 20, "max-count": 1}
     assert decode_wave(msgspec.json.encode(plain)) == Wave(
         2, frozenset({"m-1"}), 20.0, 1
@@ -104,10 +109,10 @@
         decode_wave(b'{"wave": "two"}')
 
 
-@pytest.mark.parametrize(("status", "taken"), [(200, True), (409, False)])
-def test_the_pace_of_a_run_is_set(status, taken):
+@pytest.mark.parametrize(("status", "accepted"), [(200, True), (409, False)])
+def test_throttle_call_has_the_expected_content(status, accepted):
     async def run():
-        handle, seen = answering((status, {"clock-ms": 1}))
+        handle, requests = scripted_handler((status, {"clock-ms": 1}))
         listener = Listener(handle, random.Random(1))
         await listener.start()
         client = WorkerClient()
@@ -117,11 +122,11 @@
         )
         order = ThrottleOrder("i-1", TaskName("0" * 16, 0, 1, 2), 3, 40)
         try:
-            assert await client.throttle_run(worker, order, token=7) is taken
+            assert await client.throttle_run(worker, order, token=7) is accepted
         finally:
             await client.close()
             await listener.close()
-        path, headers, body = seen[0]
+        path, headers, body = requests[0]
         assert path == "/bilberryhitch/pace"
         assert headers["Target-Instance"] == "i-1"
         assert msgspec.json.decode(body) == {
