--- a/tests/path/cluster.py
+++ b/tests/path/cluster.py
@@ -1,4 +1,4 @@
-"""A small deployment of real processes: two data centres, two entry hosts each."""
+"""Cluster of real processes on loopback: two data centres of two entry hosts each."""
 
 import hashlib
 import json
@@ -16,9 +16,9 @@
 ENTRY_HOSTS = ("ruwi-1", "ruwi-2", "mutrah-1", "mutrah-2")
 OPERATORS = ("salma", "yusuf")
 ACCOUNTS = ("al-batinah", "nizwa")
-START_LIMIT_S = 60.0
+START_TIMEOUT_S = 60.0
 WORKERS_PER_DATA_CENTRE = 2
-TABLE_PUTS = 2
+TABLES_REVISION = 2
 ROUTES = [
     {
         "name": "solder-fit",
@@ -59,24 +59,24 @@
     return hashlib.sha256(token.encode()).hexdigest()
 
 
-def wait_until(condition: Callable[[], object], what: str) -> None:
-    """Wait for a condition; the limit only ends a test that hangs."""
-    until = time.monotonic() + START_LIMIT_S
+def wait_until(condition: Callable[[], object], description: str) -> None:
+    """Wait for a condition; the timeout only ends a test that hangs."""
+    deadline = time.monotonic() + START_TIMEOUT_S
     while not condition():
-        assert time.monotonic() < until, f"still not: {what}"
+        assert time.monotonic() < deadline, f"timed out waiting for: {description}"
         time.sleep(0.1)
 
 
 @contextmanager
 def running_cluster(folder: Path) -> Iterator["Cluster"]:
-    """Run a cluster with both tables in force on every entry host."""
+    """Run a cluster whose entry hosts have all adopted the tables of the tests."""
     cluster = Cluster(folder)
     try:
         cluster.start()
         cluster.put_tables("ruwi-1", "salma")
         for host in cluster.apis:
             wait_until(
-                lambda host=host: cluster.revision_in_force(host) >= TABLE_PUTS,
+                lambda host=host: cluster.revision_in_force(host) >= TABLES_REVISION,
                 f"tables in force at {host}",
             )
         yield cluster
@@ -85,7 +85,11 @@
 
 
 class Cluster:
-    """Starts the stand-ins and entry hosts, and runs the command line against them."""
+    """Starts stand-ins and entry hosts, and runs commands against them.
+
+    :ivar processes: processes by name
+    :ivar apis: URL of the API by entry host
+    """
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -104,10 +108,10 @@
         for host in ENTRY_HOSTS:
             self.apis[host] = f"http://{self.address(host)}"
         for host in ENTRY_HOSTS:
-            wait_until(lambda host=host: self._ready(host), f"{host} ready")
+            wait_until(lambda host=host: self._is_ready(host), f"{host} ready")
 
     def restart_entry_host(self, host: str) -> None:
-        """Start a new process with the settings of one that ended."""
+        """Start a new process with the settings of an entry host that ended."""
         self.processes[host].close()
         self._start(host, ["serve", str(self._folder / f"{host}.jsonc")])
         self.apis[host] = f"http://{self.address(host)}"
@@ -119,10 +123,10 @@
     def address(self, name: str) -> str:
         return self.processes[name].wait_until_listening()
 
-    def cli(self, host: str, user: str, *words: str) -> subprocess.CompletedProcess:
-        """Run a command against one entry host as an operator or an account."""
+    def cli(self, host: str, user: str, *arguments: str) -> subprocess.CompletedProcess:
+        """Run a command against an entry host as an operator or a client account."""
         return subprocess.run(
-            [sys.executable, "-m", "bilberryhitch", *words],
+            [sys.executable, "-m", "bilberryhitch", *arguments],
             env={
                 **os.environ,
                 "BILBERRYHITCH_API": self.apis[host],
@@ -130,20 +134,22 @@
             },
             capture_output=True,
             text=True,
-            timeout=START_LIMIT_S,
+            timeout=START_TIMEOUT_S,
             check=False,
         )
 
     def put_tables(self, host: str, operator: str) -> None:
-        """Put both tables of the tests, pools first."""
+        """Put the tables of pools and routes, pools first."""
         for base, (table, rows) in enumerate(
             (("pools", self._pools()), ("routes", ROUTES))
         ):
             path = self._folder / f"{table}.json"
             path.write_text(json.dumps(rows))
-            words = (table, "put", str(path), "--base", str(base))
+            arguments = (table, "put", str(path), "--base", str(base))
             wait_until(
-                lambda words=words: self.cli(host, operator, *words).returncode == 0,
+                lambda arguments=arguments: (
+                    self.cli(host, operator, *arguments).returncode == 0
+                ),
                 f"{table} put",
             )
 
@@ -151,21 +157,21 @@
         found = self.cli(host, "salma", "config", "status")
         return json.loads(found.stdout)["revision"] if found.returncode == 0 else -1
 
-    def _start(self, name: str, words: list[str]) -> None:
-        self.processes[name] = Process(name, words)
+    def _start(self, name: str, arguments: list[str]) -> None:
+        self.processes[name] = Process(name, arguments)
 
-    def _ready(self, host: str) -> bool:
-        words = [sys.executable, "-c", _READY_CHECK, self.apis[host]]
-        return subprocess.run(words, check=False).returncode == 0
+    def _is_ready(self, host: str) -> bool:
+        arguments = [sys.executable, "-c", _READY_CHECK, self.apis[host]]
+        return subprocess.run(arguments, check=False).returncode == 0
 
     def _start_endpoints(self, platform: str) -> None:
         for data_centre in DATA_CENTRES:
             common = ["--data-centre", data_centre, "--platform", platform]
             for number in range(WORKERS_PER_DATA_CENTRE):
                 name = f"{data_centre}-worker-{number}"
-                place = ["--rack", f"{data_centre}-rack", "--position", str(number)]
+                location = ["--rack", f"{data_centre}-rack", "--position", str(number)]
                 self._start(
-                    name, ["standin", "worker", "--name", name, *common, *place]
+                    name, ["standin", "worker", "--name", name, *common, *location]
                 )
             name = f"{data_centre}-executor"
             self._start(name, ["standin", "executor", "--name", name, *common])
@@ -200,12 +206,12 @@
             }
             for name, port in zip(ENTRY_HOSTS, ports, strict=True)
         ]
-        own = next(row for row in rows if row["host"] == host)
+        own_row = next(row for row in rows if row["host"] == host)
         settings = {
-            "identity": {"host": host, "data_centre": own["data_centre"]},
+            "identity": {"host": host, "data_centre": own_row["data_centre"]},
             "api": {"ip": "127.0.0.1", "port": 0},
-            "peer": {"ip": own["ip"], "port": own["port"]},
-            "peers": [row for row in rows if row is not own],
+            "peer": {"ip": own_row["ip"], "port": own_row["port"]},
+            "peers": [row for row in rows if row is not own_row],
             "platform": {"url": platform, "token": "token-platform"},
             "operators": {name: digest(f"token-{name}") for name in OPERATORS},
             "callers": {
--- a/tests/path/platform_deployment.py
+++ b/tests/path/platform_deployment.py
@@ -1,4 +1,7 @@
-"""A store, workers and entry hosts on loopback, for process tests and the soak."""
+"""Entry host processes with stand-ins of the platform's store and its workers.
+
+The process tests and the soak test use it on loopback.
+"""
 
 import asyncio
 import os
@@ -15,8 +18,8 @@
 from bilberryhitch_jobs import Resources
 from bilberryhitch_standins.simulated_fleet import TaskProfile, WorkerParameters
 
-TERMS = WorkerParameters(stop_duration_s=0.1)
-KEY = {"Authorization": "Token key-a", "Host": "jobs.example"}
+WORKER_PARAMETERS = WorkerParameters(stop_duration_s=0.1)
+CALLER_HEADERS = {"Authorization": "Token key-a", "Host": "jobs.example"}
 CONFIGURATION = {
     "version": 1,
     "routes": [
@@ -47,7 +50,13 @@
 
 
 class Deployment:
-    """A store, workers and entry hosts."""
+    """A store, workers and entry host processes.
+
+    :param folder: folder of the settings files and logs
+    :param work_s: run time of every task in seconds
+    :ivar hosts: processes by the name of the entry host
+    :ivar ports: ports of the callers' listener, readiness and metrics by host
+    """
 
     def __init__(self, folder: Path, work_s: float):
         rng = random.Random(7)
@@ -57,7 +66,7 @@
             self.store,
             lambda task: TaskProfile(work_s, Resources(1000, 1000, 1), gang_size=1),
             rng,
-            TERMS,
+            WORKER_PARAMETERS,
         )
         self.hosts = {}
         self.ports = {}
@@ -70,10 +79,10 @@
             self.launch(f"host-{number}")
         self.session = aiohttp.ClientSession()
         for name in self.hosts:
-            await self.until_ready(name)
+            await self.wait_until_ready(name)
 
-    def store_address(self, _name):
-        """Return the address at which a host finds the store."""
+    def get_store_address(self, _name):
+        """Return the address at which a host reaches the store."""
         return self.store.listener.address
 
     def launch(self, name):
@@ -85,7 +94,7 @@
             "ip": "127.0.0.1",
             "listen": {"front": f"127.0.0.1:{front}", "ready": f"127.0.0.1:{ready}"},
             "metrics-port": metrics,
-            "platform": {"address": self.store_address(name), "row-bytes": 65536},
+            "platform": {"address": self.get_store_address(name), "row-bytes": 65536},
             "timing-bounds": {"grace-s": 3, "status_s": 120},
         }
         path = self.folder / f"{name}.jsonc"
@@ -98,7 +107,7 @@
                 stderr=log,
             )
 
-    async def until_ready(self, name):
+    async def wait_until_ready(self, name):
         url = f"http://127.0.0.1:{self.ports[name][1]}/bilberryhitch/readyz"
         for _ in range(200):
             try:
@@ -114,19 +123,19 @@
         url = f"http://127.0.0.1:{self.ports[name][0]}{path}"
         data = None if body is None else msgspec.json.encode(body)
         async with self.session.request(
-            method, url, data=data, headers=headers or KEY
+            method, url, data=data, headers=headers or CALLER_HEADERS
         ) as answer:
             content = await answer.read()
             return answer.status, msgspec.json.decode(content) if content else {}
 
-    async def until_state(self, job, state, name="host-0"):
-        seen = None
+    async def wait_until_state(self, job, state, name="host-0"):
+        answer = None
         for _ in range(400):
-            seen = await self.call("GET", f"/fast/{job}", name)
-            if seen == (200, {"state": state}):
+            answer = await self.call("GET", f"/fast/{job}", name)
+            if answer == (200, {"state": state}):
                 return
             await asyncio.sleep(0.05)
-        pytest.fail(f"{job} is {seen}, not {state}: {self.log(name)[-3000:]}")
+        pytest.fail(f"{job} is {answer}, not {state}: {self.log(name)[-3000:]}")
 
     def log(self, name):
         return (self.folder / f"{name}.log").read_text()
@@ -145,10 +154,10 @@
         await self.store.close()
 
 
-def job(number):
+def job_id(number):
     return f"{number:016x}"
 
 
-def body(count=2, **terms):
+def job_body(count=2, **fields):
     step = {"count": count, "cpu": 1000, "mem-mb": 1000, "gpu": 1, "estimate-ms": 300}
-    return {"spec": "s", "steps": [{**step, **terms}]}
+    return {"spec": "s", "steps": [{**step, **fields}]}
--- a/tests/path/processes.py
+++ b/tests/path/processes.py
@@ -1,4 +1,4 @@
-"""Starts the product's processes on loopback for the path tests."""
+"""Processes of the command-line program, for the tests of the whole path."""
 
 import os
 import signal
@@ -8,19 +8,19 @@
 import threading
 from collections.abc import Sequence
 
-START_LIMIT_S = 60.0
+START_TIMEOUT_S = 60.0
 
 
 class Process:
-    """A running command; its first line on stdout names its address."""
+    """A running command that prints its address on stdout once it listens."""
 
-    def __init__(self, name: str, words: Sequence[str]) -> None:
+    def __init__(self, name: str, arguments: Sequence[str]) -> None:
         self.name = name
         self.address = ""
         self._errors: list[str] = []
         self._started = threading.Event()
         self._popen = subprocess.Popen(
-            [sys.executable, "-m", "bilberryhitch", *words],
+            [sys.executable, "-m", "bilberryhitch", *arguments],
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             text=True,
@@ -39,23 +39,23 @@
 
     @property
     def errors(self) -> list[str]:
-        """Lines of stderr so far."""
+        """Lines of stderr read so far."""
         return self._errors
 
     def wait_until_listening(self) -> str:
-        """Return the address; fails when the process ends before it listens."""
-        self._started.wait(START_LIMIT_S)
+        """Return the address; fails if the process ends before it listens."""
+        self._started.wait(START_TIMEOUT_S)
         assert self.address, f"{self.name} did not start: {self._errors[-20:]}"
         return self.address
 
     def signal(self, number: signal.Signals) -> None:
         self._popen.send_signal(number)
 
-    def wait(self, timeout_s: float = START_LIMIT_S) -> int:
+    def wait(self, timeout_s: float = START_TIMEOUT_S) -> int:
         return self._popen.wait(timeout_s)
 
     def close(self) -> None:
-        """End the process whatever its state."""
+        """Kill the process, also a stopped one, and close its pipes."""
         if self._popen.poll() is None:
             self._popen.send_signal(signal.SIGCONT)
             self._popen.kill()
@@ -80,7 +80,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that the kernel chose and that are free now."""
+    """Return TCP ports that the kernel chose and that are free at present."""
     sockets = [socket.socket() for _ in range(count)]
     for each in sockets:
         each.bind(("127.0.0.1", 0))
--- a/tests/path/test_dist.py
+++ b/tests/path/test_dist.py
@@ -1,4 +1,4 @@
-"""The single executable file."""
+"""Test of the single-file executable."""
 
 import os
 import signal
@@ -12,8 +12,8 @@
 
 
 def test_built_file_serves_from_one_process_in_an_empty_directory(tmp_path):
-    # Guards against a bootstrapper that starts a child, and against files that
-    # are read from the repository.
+    # Guards against a bootstrapper that starts a child process, and against reads of
+    # files in the repository.
     output = tmp_path / "bilberryhitch"
     script = str(ROOT / "scripts" / "build_dist.py")
     subprocess.run([sys.executable, script, str(output)], check=True)
--- a/tests/path/test_path.py
+++ b/tests/path/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes."""
+"""Tests of calls, jobs and configuration through separate processes."""
 
 import json
 
@@ -13,19 +13,19 @@
         yield cluster
 
 
-def test_request_is_answered_whole(cluster):
-    # Guards against an answer that is cut or belongs to another call.
+def test_request_gets_its_complete_answer(cluster):
+    # Guards against an answer that is truncated or belongs to another call.
     body = json.dumps({"sleep_s": 0.05, "answer": "x" * 100_000})
     answer = cluster.cli("mutrah-2", "nizwa", "request", "solder-fit", "--body", body)
     assert answer.returncode == 0, answer.stderr
     assert "x" * 100_000 in answer.stdout
 
 
-def test_gang_runs_and_its_outcome_is_read_elsewhere(cluster):
-    # Guards against a job that only its accepting host knows.
-    words = ("submit", "render", "--tasks", "16", "--accelerators", "1")
+def test_outcome_of_a_gang_is_read_at_another_host(cluster):
+    # Guards against a job that only the host that accepted it knows.
+    arguments = ("submit", "render", "--tasks", "16", "--accelerators", "1")
     run = json.dumps({"seconds": 1})
-    submitted = cluster.cli("ruwi-1", "al-batinah", *words, "--run", run)
+    submitted = cluster.cli("ruwi-1", "al-batinah", *arguments, "--run", run)
     assert submitted.returncode == 0, submitted.stderr
     job = json.loads(submitted.stdout)["job_id"]
     waited = cluster.cli("mutrah-1", "al-batinah", "wait", job)
@@ -37,15 +37,15 @@
 
 
 def test_account_cannot_read_or_cancel_another_accounts_job(cluster):
-    words = ("submit", "render", "--tasks", "1", "--accelerators", "1")
-    job = json.loads(cluster.cli("ruwi-1", "al-batinah", *words).stdout)["job_id"]
+    arguments = ("submit", "render", "--tasks", "1", "--accelerators", "1")
+    job = json.loads(cluster.cli("ruwi-1", "al-batinah", *arguments).stdout)["job_id"]
     for command in ("status", "cancel", "explain"):
         assert cluster.cli("ruwi-1", "nizwa", command, job).returncode == 8
     assert cluster.cli("ruwi-1", "al-batinah", "status", job).returncode == 0
 
 
 @pytest.mark.parametrize(
-    ("words", "code"),
+    ("arguments", "code"),
     [
         (("request", "no-such-route"), 8),
         (("submit", "render", "--tasks", "-1"), 2),
@@ -54,9 +54,9 @@
         (("status", "not-a-job"), 8),
     ],
 )
-def test_bad_input_is_refused_with_its_reason(cluster, words, code):
-    # Guards against tracebacks and half-applied calls.
-    answer = cluster.cli("ruwi-2", "al-batinah", *words)
+def test_invalid_input_is_refused_without_a_traceback(cluster, arguments, code):
+    # Guards against invalid input that ends in a traceback or a wrong exit code.
+    answer = cluster.cli("ruwi-2", "al-batinah", *arguments)
     assert answer.returncode == code, answer.stderr
     assert "Traceback" not in answer.stdout + answer.stderr
 
@@ -65,22 +65,22 @@
     before = cluster.revision_in_force("ruwi-1")
     path = tmp_path / "routes.json"
     path.write_text("[]")
-    words = ("routes", "put", str(path), "--base", str(before))
+    arguments = ("routes", "put", str(path), "--base", str(before))
     for user in ("nizwa", "nobody"):
-        assert cluster.cli("ruwi-1", user, *words).returncode == 5
+        assert cluster.cli("ruwi-1", user, *arguments).returncode == 5
     assert cluster.revision_in_force("ruwi-1") == before
 
 
-def test_route_change_comes_into_force_and_is_audited(cluster, tmp_path):
+def test_route_change_is_adopted_and_audited(cluster, tmp_path):
     base = cluster.revision_in_force("ruwi-1")
     routes = json.loads(cluster.cli("ruwi-1", "salma", "routes", "get").stdout)
     rows = routes["rows"]
     rows[0]["timeout_s"] = 7.0
     path = tmp_path / "routes.json"
     path.write_text(json.dumps(rows))
-    words = ("routes", "put", str(path), "--base", str(base))
-    assert cluster.cli("ruwi-1", "yusuf", *words).returncode == 0
-    stale = cluster.cli("mutrah-1", "salma", *words)
+    arguments = ("routes", "put", str(path), "--base", str(base))
+    assert cluster.cli("ruwi-1", "yusuf", *arguments).returncode == 0
+    stale = cluster.cli("mutrah-1", "salma", *arguments)
     assert stale.returncode == 6, stale.stdout
     for host in cluster.apis:
         wait_until(
@@ -96,12 +96,14 @@
     assert cluster.cli("ruwi-2", "salma", "drain", drained).returncode == 0
     assert drained in cluster.cli("mutrah-2", "yusuf", "audit").stdout
 
-    def refuses_new_work():
-        words = ("submit", "render", "--tasks", "1", "--accelerators", "1")
+    def is_unused():
+        arguments = ("submit", "render", "--tasks", "1", "--accelerators", "1")
         run = json.dumps({"seconds": 0.1})
-        answer = cluster.cli("mutrah-1", "al-batinah", *words, "--run", run, "--wait")
+        answer = cluster.cli(
+            "mutrah-1", "al-batinah", *arguments, "--run", run, "--wait"
+        )
         members = json.loads(answer.stdout)["members"]
         return all(member["host"] != drained for member in members)
 
-    wait_until(refuses_new_work, "drained worker unused")
+    wait_until(is_unused, "drained worker unused")
     assert cluster.cli("ruwi-2", "salma", "undrain", drained).returncode == 0
--- a/tests/path/test_signals.py
+++ b/tests/path/test_signals.py
@@ -1,4 +1,4 @@
-"""Kills, pauses and graceful shutdowns of real entry host processes."""
+"""Tests of entry host processes that are killed, paused or shut down gracefully."""
 
 import asyncio
 import json
@@ -10,8 +10,8 @@
 
 from tests.path.cluster import running_cluster, wait_until
 
-RUN_S = 2.0
-CALLS = 24
+REQUEST_RUN_S = 2.0
+REQUEST_COUNT = 24
 
 
 @pytest.fixture
@@ -21,7 +21,7 @@
 
 
 async def send_request(session, api, route, number, key=""):
-    body = json.dumps({"sleep_s": RUN_S, "answer": f"answer {number} " * 1000})
+    body = json.dumps({"sleep_s": REQUEST_RUN_S, "answer": f"answer {number} " * 1000})
     headers = {"Authorization": "Bearer token-nizwa"}
     if key:
         headers["Idempotency-Key"] = key
@@ -31,11 +31,11 @@
         return response.headers.get("Bilberryhitch-Outcome"), text
 
 
-async def set_faults(cluster, name, **switches):
+async def set_faults(cluster, name, **faults):
     url = f"http://{cluster.address(name)}/faults"
     async with aiohttp.ClientSession() as session:
         method = session.put if name == "platform" else session.post
-        async with method(url, json=switches) as response:
+        async with method(url, json=faults) as response:
             assert response.status == 200
 
 
@@ -48,10 +48,11 @@
 
 
 @pytest.mark.parametrize("store_down", [False, True])
-def test_sigterm_cuts_off_no_request_in_flight(cluster, store_down):
-    # Guards against answers lost in a shutdown: long answers, more calls than
-    # slots, so that some wait and some are forwarded, and a second SIGTERM.
-    leaving = cluster.processes["ruwi-1"]
+def test_requests_in_flight_complete_after_sigterm(cluster, store_down):
+    # Guards against answers that are lost in a shutdown. The answers are long; there
+    # are more requests than slots, so that some wait and some are forwarded; and a
+    # second SIGTERM follows.
+    terminated = cluster.processes["ruwi-1"]
 
     async def main():
         api = cluster.apis["ruwi-1"]
@@ -59,29 +60,29 @@
         async with aiohttp.ClientSession(connector=connector) as session:
             calls = [
                 asyncio.create_task(send_request(session, api, "solder-fit", number))
-                for number in range(CALLS)
+                for number in range(REQUEST_COUNT)
             ]
-            await asyncio.sleep(RUN_S / 2)
+            await asyncio.sleep(REQUEST_RUN_S / 2)
             if store_down:
                 await set_faults(cluster, "platform", down=True)
-            leaving.signal(signal.SIGTERM)
+            terminated.signal(signal.SIGTERM)
             await asyncio.sleep(0.2)
-            leaving.signal(signal.SIGTERM)
+            terminated.signal(signal.SIGTERM)
             return await asyncio.gather(*calls)
 
     answers = asyncio.run(main())
     for number, (outcome, text) in enumerate(answers):
         assert outcome == "completed", (number, outcome, text[:200])
         assert text.count(f"answer {number} ") == 1000
-    assert leaving.wait() == 0, leaving.errors[-5:]
+    assert terminated.wait() == 0, terminated.errors[-5:]
 
 
-def test_killed_planner_host_leaves_gangs_whole_and_runs_once(cluster):
+def test_gangs_start_once_and_whole_after_a_host_is_killed(cluster):
     # Guards against a second run, a partial gang or a lost job after a takeover.
     jobs = [_submit(cluster, "mutrah-1", "simulation", 4.0) for _ in range(2)]
     wait_until(lambda: _state(cluster, "mutrah-1", jobs[0]) == "started", "started")
-    victims = [name for name in cluster.apis if name.startswith("mutrah")][:1]
-    for name in victims:
+    killed = [name for name in cluster.apis if name.startswith("mutrah")][:1]
+    for name in killed:
         cluster.processes[name].signal(signal.SIGKILL)
     for job in jobs:
         waited = cluster.cli("mutrah-2", "al-batinah", "wait", job)
@@ -89,8 +90,8 @@
         _check_runs(cluster, job, accelerators=16)
 
 
-def test_paused_planner_does_no_harm_when_it_resumes(cluster):
-    # Guards against a resumed planner that acts with its old epoch.
+def test_jobs_complete_once_after_the_planner_host_was_paused(cluster):
+    # Guards against a resumed planner that still acts with its old epoch.
     job = _submit(cluster, "ruwi-1", "simulation", 8.0)
     wait_until(lambda: _state(cluster, "ruwi-1", job) == "started", "started")
     paused = cluster.processes["ruwi-1"]
@@ -105,8 +106,8 @@
 
 
 def test_restarted_host_gets_the_configuration_from_a_peer(cluster):
-    # Guards against a new process that serves without a revision, or an old one,
-    # while the store is down.
+    # Guards against a restarted process that serves without a configuration or with
+    # an old revision while the store is down.
     revision = cluster.revision_in_force("ruwi-2")
     asyncio.run(set_faults(cluster, "platform", down=True))
     cluster.processes["ruwi-2"].signal(signal.SIGKILL)
@@ -119,7 +120,7 @@
 
 
 def test_keyed_non_idempotent_request_runs_once_through_every_host(cluster):
-    # Guards against a second run when a caller retries elsewhere.
+    # Guards against a second run when a caller retries at another host.
     async def main():
         async with aiohttp.ClientSession() as session:
             calls = [
@@ -146,9 +147,9 @@
 
 
 def _submit(cluster, host, route, seconds):
-    words = ("submit", route, "--tasks", "16", "--accelerators", "1")
+    arguments = ("submit", route, "--tasks", "16", "--accelerators", "1")
     run = json.dumps({"seconds": seconds})
-    answer = cluster.cli(host, "al-batinah", *words, "--run", run)
+    answer = cluster.cli(host, "al-batinah", *arguments, "--run", run)
     assert answer.returncode == 0, answer.stderr
     return json.loads(answer.stdout)["job_id"]
 
@@ -159,7 +160,7 @@
 
 
 def _check_runs(cluster, job, accelerators):
-    """Check in the workers' histories that the gang started at most once, whole."""
+    """Check the workers' histories: the gang started at most once, with all tasks."""
     started = []
     for name in cluster.processes:
         if "-worker-" not in name:
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,20 +1,21 @@
-"""A loopback proxy that delays, resets, silences or cuts connections one way."""
+"""TCP proxy on loopback that delays, resets or drops data in one direction."""
 
 import asyncio
 from contextlib import suppress
 
-CHUNK = 65_536
+READ_SIZE_BYTES = 65_536
 
 
 class Proxy:
-    """Passes bytes between callers and one server.
+    """Forwards bytes between clients and one server.
 
-    A connection of which bytes were dropped stays silent in that direction for good,
-    as behind a cut; new ones work once the cut is over.
+    A connection whose data was dropped once transfers nothing more in that direction,
+    as after a network partition. Connections opened after the fault work.
 
-    :ivar drop_requests: what callers send is lost
-    :ivar drop_answers: what the server sends is lost
-    :ivar delay_s: added to every piece in each direction
+    :param target: ``ip:port`` of the server
+    :ivar drop_requests: drop the data that clients send
+    :ivar drop_answers: drop the data that the server sends
+    :ivar delay_s: delay of every chunk in each direction, in seconds
     """
 
     def __init__(self, target: str) -> None:
@@ -23,7 +24,7 @@
         self.delay_s = 0.0
         self._target = target
         self._server: asyncio.Server | None = None
-        self._links: set[asyncio.Task[None]] = set()
+        self._connections: set[asyncio.Task[None]] = set()
         self._writers: set[asyncio.StreamWriter] = set()
 
     @property
@@ -37,14 +38,14 @@
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
 
     async def close(self) -> None:
-        """Stop listening and end all connections."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
-        links = list(self._links)
-        for link in links:
-            link.cancel()
-        await asyncio.gather(*links, return_exceptions=True)
+        connections = list(self._connections)
+        for connection in connections:
+            connection.cancel()
+        await asyncio.gather(*connections, return_exceptions=True)
 
     def reset(self) -> None:
         """Abort all open connections."""
@@ -54,42 +55,44 @@
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        link = asyncio.create_task(self._link(reader, writer))
-        self._links.add(link)
-        link.add_done_callback(self._links.discard)
+        connection = asyncio.create_task(self._serve_connection(reader, writer))
+        self._connections.add(connection)
+        connection.add_done_callback(self._connections.discard)
 
-    async def _link(
+    async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         host, _, port = self._target.rpartition(":")
-        pair = {writer}
+        writers = {writer}
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
-            pair.add(far_writer)
-            self._writers |= pair
+            server_reader, server_writer = await asyncio.open_connection(
+                host, int(port)
+            )
+            writers.add(server_writer)
+            self._writers |= writers
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pump(reader, far_writer, "drop_requests"))
-                group.create_task(self._pump(far_reader, writer, "drop_answers"))
+                group.create_task(self._forward(reader, server_writer, "drop_requests"))
+                group.create_task(self._forward(server_reader, writer, "drop_answers"))
         except* (OSError, asyncio.IncompleteReadError):
             pass
         finally:
-            self._writers -= pair
-            for each in pair:
+            self._writers -= writers
+            for each in writers:
                 each.transport.abort()
                 with suppress(OSError):
                     await each.wait_closed()
 
-    async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, switch: str
+    async def _forward(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, drop_flag: str
     ) -> None:
-        silent = False
-        while data := await reader.read(CHUNK):
+        dropped = False
+        while data := await reader.read(READ_SIZE_BYTES):
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
-            silent = silent or getattr(self, switch)
-            if not silent:
+            dropped = dropped or getattr(self, drop_flag)
+            if not dropped:
                 writer.write(data)
                 await writer.drain()
-        if not silent:
+        if not dropped:
             with suppress(OSError):
                 writer.write_eof()
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -16,16 +16,16 @@
 import aiohttp
 from bilberryhitch_jobs import TaskName
 
-from tests.path.platform_deployment import CONFIGURATION, Deployment, body, job
+from tests.path.platform_deployment import CONFIGURATION, Deployment, job_body, job_id
 from tests.soak.proxy import Proxy
 
 HOSTS, WORKERS = 3, 4
 JOB_PERIOD_S = 0.35
 FAULT_PERIOD_S = (0.4, 1.4)
-FAULT_S = (0.2, 2.5)
-# Accepted jobs are done this long after the last fault: a lease (10 s), a takeover
-# and the work itself.
-SETTLE_S = 45.0
+FAULT_DURATION_S = (0.2, 2.5)
+# Accepted jobs end within this time after the last fault: the expiry of a lease
+# (10 s), the takeover by another planner and the run time.
+SETTLE_TIMEOUT_S = 45.0
 
 
 class ProxiedDeployment(Deployment):
@@ -36,7 +36,7 @@
         self.proxies: dict[str, Proxy] = {}
 
     async def start(self, hosts: int, workers: int) -> None:
-        """Start all; each host has a proxy to the store, each worker one of its own."""
+        """Start all, with a proxy to the store for each host and one to each worker."""
         await self.store.start()
         await self.store.put("op", "config", CONFIGURATION)
         await self.fleet.start(workers)
@@ -49,16 +49,16 @@
             self.launch(f"host-{number}")
         self.session = aiohttp.ClientSession()
         for name in self.hosts:
-            await self.until_ready(name)
+            await self.wait_until_ready(name)
 
     async def close(self) -> None:
-        """End what was started."""
+        """Stop the processes, the stand-ins and the proxies."""
         await super().close()
         for proxy in self.proxies.values():
             await proxy.close()
 
-    def store_address(self, name: str) -> str:
-        """Return the address at which a host finds the store."""
+    def get_store_address(self, name: str) -> str:
+        """Return the address at which a host reaches the store."""
         return self.proxies[name].address
 
     async def _add_proxy(self, name: str, target: str) -> None:
@@ -67,7 +67,15 @@
 
 
 class Soak:
-    """One seeded run."""
+    """A run with one seed.
+
+    :param folder: folder of the settings files and logs
+    :param seconds: time during which jobs are submitted and faults injected
+    :ivar faults: injected faults, in order
+    :ivar violations: descriptions of broken guarantees
+    :ivar accepted: identifiers of accepted jobs
+    :ivar refused: identifiers of refused jobs
+    """
 
     def __init__(self, folder: Path, seed: int, seconds: float) -> None:
         self.faults: list[str] = []
@@ -80,14 +88,14 @@
         self._pending: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Play the faults, let the system settle and check the promises."""
+        """Inject the faults, wait for the accepted jobs and check the guarantees."""
         await self._deployment.start(hosts=HOSTS, workers=WORKERS)
         try:
             until = time.monotonic() + self._seconds
-            await asyncio.gather(self._submit(until), self._disturb(until))
+            await asyncio.gather(self._submit(until), self._inject_faults(until))
             await asyncio.gather(*self._pending)
-            await self._settle()
-            self._check()
+            await self._wait_for_jobs()
+            self._check_state()
         finally:
             await self._deployment.close()
 
@@ -95,15 +103,15 @@
         number = 0
         while time.monotonic() < until:
             number += 1
-            name = job(number)
+            name = job_id(number)
             gang = self._rng.random() < 0.4
-            content = body(self._rng.randint(1, 4), gang=gang)
+            content = job_body(self._rng.randint(1, 4), gang=gang)
             host = self._rng.choice(sorted(self._deployment.hosts))
-            task = asyncio.create_task(self._submit_one(name, host, content))
+            task = asyncio.create_task(self._submit_job(name, host, content))
             self._pending.add(task)
             await asyncio.sleep(JOB_PERIOD_S)
 
-    async def _submit_one(self, name: str, host: str, content: dict) -> None:
+    async def _submit_job(self, name: str, host: str, content: dict) -> None:
         try:
             async with asyncio.timeout(4):
                 status, _ = await self._deployment.call(
@@ -116,26 +124,28 @@
         elif status in (429, 503):
             self.refused.add(name)
 
-    async def _disturb(self, until: float) -> None:
+    async def _inject_faults(self, until: float) -> None:
         kinds = [
             self._kill,
             self._pause,
             self._stop,
             self._store_fault,
-            self._cut_worker,
-            self._forget,
+            self._silence_worker,
+            self._drop_store_history,
             self._reset,
-            self._cut_one_way,
+            self._drop_one_direction,
             self._delay,
         ]
         while time.monotonic() < until:
             await asyncio.sleep(self._rng.uniform(*FAULT_PERIOD_S))
             fault = self._rng.choice(kinds)
-            self._pending.add(asyncio.create_task(fault(self._rng.uniform(*FAULT_S))))
+            self._pending.add(
+                asyncio.create_task(fault(self._rng.uniform(*FAULT_DURATION_S)))
+            )
 
     async def _kill(self, seconds: float) -> None:
-        name = self._victim()
-        self._note(f"kill {name}")
+        name = self._choose_host()
+        self._record_fault(f"kill {name}")
         process = self._deployment.hosts[name]
         process.kill()
         await asyncio.to_thread(process.wait)
@@ -143,8 +153,8 @@
         self._relaunch(name)
 
     async def _pause(self, seconds: float) -> None:
-        name = self._victim()
-        self._note(f"pause {name} {seconds:.1f}")
+        name = self._choose_host()
+        self._record_fault(f"pause {name} {seconds:.1f}")
         process = self._deployment.hosts[name]
         if process.poll() is None:
             process.send_signal(signal.SIGSTOP)
@@ -152,8 +162,8 @@
             process.send_signal(signal.SIGCONT)
 
     async def _stop(self, seconds: float) -> None:
-        name = self._victim()
-        self._note(f"stop {name}")
+        name = self._choose_host()
+        self._record_fault(f"stop {name}")
         process = self._deployment.hosts[name]
         if process.poll() is None:
             process.send_signal(signal.SIGTERM)
@@ -164,7 +174,7 @@
     async def _store_fault(self, seconds: float) -> None:
         listener = self._deployment.store.listener
         kind = self._rng.choice(["refusing", "silent", "lost", "slow"])
-        self._note(f"store {kind} {seconds:.1f}")
+        self._record_fault(f"store {kind} {seconds:.1f}")
         if kind == "lost":
             listener.lost_share = 0.3
         elif kind == "slow":
@@ -175,9 +185,9 @@
         listener.refusing = listener.silent = False
         listener.lost_share = listener.delay_s = 0.0
 
-    async def _cut_worker(self, seconds: float) -> None:
+    async def _silence_worker(self, seconds: float) -> None:
         name = self._rng.choice(sorted(self._deployment.fleet.listeners))
-        self._note(f"cut {name} {seconds:.1f}")
+        self._record_fault(f"cut {name} {seconds:.1f}")
         listener = self._deployment.fleet.listeners[name]
         listener.silent = True
         await asyncio.sleep(seconds * 3)
@@ -186,31 +196,31 @@
     async def _reset(self, _seconds: float) -> None:
         names = sorted(self._deployment.proxies)
         chosen = self._rng.sample(names, self._rng.randint(1, len(names)))
-        self._note(f"reset connections of {', '.join(chosen)}")
+        self._record_fault(f"reset connections of {', '.join(chosen)}")
         for name in chosen:
             self._deployment.proxies[name].reset()
 
-    async def _cut_one_way(self, seconds: float) -> None:
+    async def _drop_one_direction(self, seconds: float) -> None:
         name = self._rng.choice(sorted(self._deployment.proxies))
-        switch = self._rng.choice(["drop_requests", "drop_answers"])
-        self._note(f"{switch} of {name} {seconds:.1f}")
-        setattr(self._deployment.proxies[name], switch, True)
+        drop_flag = self._rng.choice(["drop_requests", "drop_answers"])
+        self._record_fault(f"{drop_flag} of {name} {seconds:.1f}")
+        setattr(self._deployment.proxies[name], drop_flag, True)
         await asyncio.sleep(seconds * 2)
-        setattr(self._deployment.proxies[name], switch, False)
+        setattr(self._deployment.proxies[name], drop_flag, False)
 
     async def _delay(self, seconds: float) -> None:
         name = self._rng.choice(sorted(self._deployment.proxies))
-        self._note(f"delay {name} {seconds:.1f}")
+        self._record_fault(f"delay {name} {seconds:.1f}")
         self._deployment.proxies[name].delay_s = self._rng.uniform(0.05, 0.4)
         await asyncio.sleep(seconds * 2)
         self._deployment.proxies[name].delay_s = 0.0
 
-    async def _forget(self, _seconds: float) -> None:
-        self._note("store forgets its history")
+    async def _drop_store_history(self, _seconds: float) -> None:
+        self._record_fault("store forgets its history")
         self._deployment.store.forget_history()
 
-    def _victim(self) -> str:
-        """Return a host, more often the planner's."""
+    def _choose_host(self) -> str:
+        """Return a random host; that of the active planner is preferred."""
         names = sorted(self._deployment.hosts)
         if self._rng.random() < 0.5 and "lease" in self._deployment.store.rows(
             "planner"
@@ -224,16 +234,16 @@
         if self._deployment.hosts[name].poll() is not None:
             self._deployment.launch(name)
 
-    def _note(self, fault: str) -> None:
+    def _record_fault(self, fault: str) -> None:
         self.faults.append(fault)
 
-    async def _settle(self) -> None:
+    async def _wait_for_jobs(self) -> None:
         for name in list(self._deployment.hosts):
             self._relaunch(name)
-        until = time.monotonic() + SETTLE_S
-        waiting = set(self.accepted)
-        while waiting and time.monotonic() < until:
-            for name in sorted(waiting):
+        until = time.monotonic() + SETTLE_TIMEOUT_S
+        unfinished = set(self.accepted)
+        while unfinished and time.monotonic() < until:
+            for name in sorted(unfinished):
                 host = self._rng.choice(sorted(self._deployment.hosts))
                 try:
                     async with asyncio.timeout(4):
@@ -244,20 +254,24 @@
                     continue
                 if status == 410:
                     self.violations.append(f"{name} was accepted and is not known")
-                    waiting.discard(name)
+                    unfinished.discard(name)
                 elif status == 200 and answer["state"] != "running":
                     if answer["state"] in ("failed", "cancelled"):
                         self.violations.append(f"{name} is {answer['state']}")
                     if answer["state"] != "pending":
-                        waiting.discard(name)
+                        unfinished.discard(name)
             await asyncio.sleep(0.2)
-        self.violations += [f"{name} was accepted and is not done" for name in waiting]
+        self.violations += [
+            f"{name} was accepted and is not done" for name in unfinished
+        ]
 
-    def _check(self) -> None:
+    def _check_state(self) -> None:
         fleet = self._deployment.fleet.fleet
-        self.violations += [f"{_text(task)} ran twice" for task in fleet.duplicate_runs]
         self.violations += [
-            f"{_text(task)} had no room" for task in fleet.overcommitted
+            f"{_format_task(task)} ran twice" for task in fleet.duplicate_runs
+        ]
+        self.violations += [
+            f"{_format_task(task)} had no room" for task in fleet.overcommitted
         ]
         known = self._deployment.store.rows("jobs")
         self.violations += [
@@ -267,12 +281,12 @@
         ]
 
 
-def _text(task: TaskName) -> str:
+def _format_task(task: TaskName) -> str:
     return ".".join(str(part) for part in task)
 
 
-def play(seed: int, seconds: float) -> Soak:
-    """Play one seed in a folder that is kept when a promise was broken."""
+def run_seed(seed: int, seconds: float) -> Soak:
+    """Run a seed in a new folder, which is printed if a guarantee was broken."""
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     soak = Soak(folder, seed, seconds)
     asyncio.run(soak.run())
@@ -282,23 +296,23 @@
 
 
 def main() -> int:
-    """Play seeds and print one line for each."""
+    """Run the seeds and print a line for each."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", default="1-5", help="first-last")
     parser.add_argument("--seconds", type=float, default=12.0)
     arguments = parser.parse_args()
     first, _, last = arguments.seeds.partition("-")
-    broken = 0
+    failed_seeds = 0
     for seed in range(int(first), int(last or first) + 1):
-        soak = play(seed, arguments.seconds)
-        broken += bool(soak.violations)
+        soak = run_seed(seed, arguments.seconds)
+        failed_seeds += bool(soak.violations)
         verdict = "; ".join(soak.violations) or "ok"
         sys.stdout.write(
             f"seed {seed}: {len(soak.faults)} faults, {len(soak.accepted)} accepted, "
             f"{len(soak.refused)} refused: {verdict}\n"
         )
         sys.stdout.flush()
-    return 1 if broken else 0
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy's faults do what the soak takes them to do."""
+"""Tests of the faults that the proxy injects for the soak test."""
 
 import asyncio
 
@@ -13,23 +13,23 @@
     writer.close()
 
 
-def talk(scene):
+def run_with_proxy(scenario):
     async def run():
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         proxy = Proxy(f"127.0.0.1:{port}")
         await proxy.start()
         host, _, port = proxy.address.rpartition(":")
-        opened = []
+        connections = []
 
         async def connect():
-            opened.append(await asyncio.open_connection(host, int(port)))
-            return opened[-1]
+            connections.append(await asyncio.open_connection(host, int(port)))
+            return connections[-1]
 
         try:
-            await scene(proxy, connect)
+            await scenario(proxy, connect)
         finally:
-            for _, writer in opened:
+            for _, writer in connections:
                 writer.transport.abort()
             await proxy.close()
             server.close()
@@ -37,7 +37,7 @@
     asyncio.run(run())
 
 
-async def answered(reader, writer):
+async def is_answered(reader, writer):
     writer.write(b"x")
     try:
         async with asyncio.timeout(0.2):
@@ -46,27 +46,27 @@
         return False
 
 
-@pytest.mark.parametrize("switch", ["drop_requests", "drop_answers"])
-def test_a_cut_connection_stays_silent_and_a_new_one_works(switch):
-    async def scene(proxy, connect):
+@pytest.mark.parametrize("drop_flag", ["drop_requests", "drop_answers"])
+def test_only_connections_opened_after_the_drop_work(drop_flag):
+    async def scenario(proxy, connect):
         old = await connect()
-        assert await answered(*old)
-        setattr(proxy, switch, True)
-        assert not await answered(*old)
-        setattr(proxy, switch, False)
-        assert not await answered(*old)
-        assert await answered(*await connect())
+        assert await is_answered(*old)
+        setattr(proxy, drop_flag, True)
+        assert not await is_answered(*old)
+        setattr(proxy, drop_flag, False)
+        assert not await is_answered(*old)
+        assert await is_answered(*await connect())
 
-    talk(scene)
+    run_with_proxy(scenario)
 
 
-def test_connections_are_reset():
-    async def scene(proxy, connect):
+def test_reset_aborts_open_connections():
+    async def scenario(proxy, connect):
         reader, writer = await connect()
-        assert await answered(reader, writer)
+        assert await is_answered(reader, writer)
         proxy.reset()
         with pytest.raises(ConnectionResetError):
             assert await reader.read(1) == b""
             raise ConnectionResetError
 
-    talk(scene)
+    run_with_proxy(scenario)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,15 +1,17 @@
-"""A short seeded soak in CI, and every seed that ever failed."""
+"""Short soak runs with fixed seeds, among them all seeds that have failed before."""
 
 import pytest
 
-from tests.soak.soak import play
+from tests.soak.soak import run_seed
 
 
-# 2: a frozen planner woke up isolated and was stopped in the same turn; it never ended.
-# 127: a stop met the turn in which the planner woke up; its process never ended.
+# Seed 2: a suspended planner resumed, found itself isolated and was stopped in the same
+# loop iteration, and its process never ended.
+# Seed 127: a planner was stopped in the loop iteration in which it resumed, and its
+# process never ended.
 @pytest.mark.parametrize("seed", [1, 2, 127])
-def test_no_promise_is_broken_under_random_faults(seed):
-    soak = play(seed, seconds=8.0)
+def test_guarantees_hold_under_random_faults(seed):
+    soak = run_seed(seed, seconds=8.0)
     assert soak.faults
     assert soak.accepted
     assert soak.violations == []
