--- a/tests/machines/fakes_point6_leaving.py
+++ b/tests/machines/fakes_point6_leaving.py
@@ -1,4 +1,4 @@
-"""Store and host list as one process sees them, watched by the oracle."""
+"""Fake store and host list that report to the oracle what processes learn."""
 
 import json
 
@@ -10,7 +10,7 @@
 
 
 class WatchedTables(MemoryTables):
-    """The store; tells the oracle when a drain is undone."""
+    """The store; reports to the oracle each drain that is undone."""
 
     def __init__(self, oracle, hosts):
         super().__init__()
@@ -24,12 +24,12 @@
             if host not in self._hosts or isinstance(write, Delete):
                 continue
             if not json.loads(write.value)["leaving"]:
-                self._oracle.undrained(host, result.ok)
+                self._oracle.drain_ended(host, result.ok)
         return result
 
 
 class ProcessTables(FaultyTables):
-    """A process's view of the store; tells the oracle what it learned."""
+    """One process's access to the store; reports to the oracle what it learns."""
 
     def __init__(self, inner, learned):
         super().__init__(inner)
@@ -49,10 +49,10 @@
 
 
 class ProcessHostList:
-    """A process's view of the host list.
+    """One process's access to the host list.
 
-    ``mode`` is ``true``, ``lag``, ``flap`` (lagging at every other call),
-    ``omit`` (without ``omitted``), ``live`` (leaving hosts shown live) or ``down``.
+    :ivar mode: ``true``, ``lag``, ``flap`` (lags at every other call), ``omit``
+        (without ``omitted``), ``live`` (leaving hosts are listed live) or ``down``
     """
 
     def __init__(self, world, process):
--- a/tests/machines/mutants_point6_leaving.py
+++ b/tests/machines/mutants_point6_leaving.py
@@ -12,14 +12,14 @@
 
 
 class NoNotices(Membership):
-    """Tells peers nothing at once."""
+    """Does not send drain notices to peers."""
 
     def _apply_notice(self, notice):
         return self._leaving.apply_notice(notice, self._time_s())
 
 
 class NoCatchUp(Membership):
-    """Does not tell peers what their heartbeats show they lack."""
+    """Does not send peers the notices that their heartbeats show to be missing."""
 
     def _catch_up(self, heartbeat):
         pass
@@ -55,8 +55,8 @@
         pass
 
 
-class NotSticky(Membership):
-    """Believes a list that shows a leaving boot live again."""
+class NoStickyLeaving(Membership):
+    """Accepts a host list that shows a leaving boot live again."""
 
     def _apply_list(self, hosts):
         for host in hosts:
@@ -65,8 +65,8 @@
         super()._apply_list(hosts)
 
 
-class LastShownIsNewest(Membership):
-    """Takes the boot that the list shows for the newest."""
+class LastListedIsNewest(Membership):
+    """Treats the listed boot as the newest one."""
 
     def _apply_list(self, hosts):
         for host in hosts:
@@ -74,8 +74,8 @@
         super()._apply_list(hosts)
 
 
-class NoHold(Membership):
-    """Believes a lagging list rather than is_new of a boot it never showed."""
+class NoSourceLag(Membership):
+    """Ignores that a lagging list may not yet show a boot that is leaving."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -85,7 +85,7 @@
 
 
 class LastNoticeWins(Membership):
-    """Takes drain notices in the order of their arrival."""
+    """Applies drain notices in the order of arrival, not of revision."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -99,15 +99,15 @@
         return is_new
 
 
-class LeavesSilently(Membership):
-    """Does not announce its own leaving."""
+class NoLeaveNotice(Membership):
+    """Does not announce that it is leaving."""
 
     def leave(self):
         pass
 
 
-class NeverSilent(Membership):
-    """Counts every entry host that was ever heard as live."""
+class NoSilenceTimeout(Membership):
+    """Counts every entry host that ever sent a heartbeat as live."""
 
     def entry_hosts(self, data_centre):
         heard = self._entry_hosts._last_heartbeats
@@ -116,7 +116,7 @@
         return [host for host in live if not self.is_leaving(host)]
 
 
-class TrustsTheListLonger(Membership):
+class LongInitialListValidity(Membership):
     """Counts listed entry hosts as live for a minute after its start."""
 
     async def start(self):
@@ -125,7 +125,7 @@
 
 
 def late_notice(machine):
-    """A drain reaches ruwi1 and its store poll before an older undrain does."""
+    """ruwi1 learns of a drain before the delayed notice of an older undrain arrives."""
     machine.advance(0.6)
     machine.set_link(0.7, False)
     machine.write_drain("ruwi2", "w1", False)
@@ -134,8 +134,8 @@
     machine.advance(4.0)
 
 
-def only_path_without_heartbeats(machine):
-    """Heartbeats do not join ruwi1 and seeb3 until seeb3 is alone."""
+def single_path_without_heartbeats(machine):
+    """seeb3 is connected to ruwi1 only, from which it receives no heartbeats."""
     machine.set_link(0.7, False)
     machine.leave_one_path("seeb3", "ruwi1")
     machine.write_drain("ruwi1", "w1", True)
@@ -181,7 +181,7 @@
 
 
 def earlier_boot_listed(machine):
-    """The first boot is listed again, long after the processes started."""
+    """A lagging list shows an earlier boot, long after the processes started."""
     for _ in range(11):
         machine.advance(4.0)
     machine.reboot("w1")
@@ -218,18 +218,18 @@
     machine.advance(4.0)
 
 
-# What each mechanism is for, as the shortest history known that needs it.
+# The shortest known history in which each missing mechanism shows.
 MUTANTS = {
-    NoNotices: only_path_without_heartbeats,
+    NoNotices: single_path_without_heartbeats,
     NoCatchUp: restart_without_store,
     NoDrainPoll: drain_while_cut,
     SequentialPolls: drain_after_a_slow_answer,
     NoBootRows: lagging_list_while_cut,
-    NotSticky: listed_live_again,
-    LastShownIsNewest: earlier_boot_listed,
-    NoHold: boot_not_yet_listed,
+    NoStickyLeaving: listed_live_again,
+    LastListedIsNewest: earlier_boot_listed,
+    NoSourceLag: boot_not_yet_listed,
     LastNoticeWins: late_notice,
-    LeavesSilently: leave,
-    NeverSilent: leave_while_cut,
-    TrustsTheListLonger: restart_after_a_leave,
+    NoLeaveNotice: leave,
+    NoSilenceTimeout: leave_while_cut,
+    LongInitialListValidity: restart_after_a_leave,
 }
--- a/tests/machines/oracle_point6_leaving.py
+++ b/tests/machines/oracle_point6_leaving.py
@@ -1,4 +1,4 @@
-"""Oracle for point 6, told what happened outside the processes under test."""
+"""Oracle for point 6; its inputs come from outside the processes under test."""
 
 from typing import NamedTuple
 
@@ -9,8 +9,8 @@
 class Cause(NamedTuple):
     """Why a host is leaving.
 
-    ``kind`` is ``drain`` (``id`` is the store revision), ``boot`` (called leaving
-    by the host list, ``id`` is the boot) or ``run`` (a process's own word).
+    ``kind`` is ``drain`` (``id`` is the store revision), ``boot`` (listed as leaving,
+    ``id`` is the boot) or ``run`` (announced by the process, ``id`` is its run).
     """
 
     kind: str
@@ -18,7 +18,7 @@
 
 
 class Learning(NamedTuple):
-    """A process learned from a source other than its peers."""
+    """A process learned that a host is leaving, not from its peers."""
 
     at: float
     process: str
@@ -35,7 +35,7 @@
 
 
 class LeavingOracle:
-    """No process that is obliged to know offers a leaving host.
+    """Checks that no process that could know of it offers a leaving host.
 
     :param data_centres: data centre of each process
     """
@@ -49,7 +49,7 @@
         self._learnings = []
         self._causes = set()
 
-    # What happens to processes, paths and the store.
+    # Changes of processes, paths and the store.
 
     def started(self, at, process, run):
         self._runs[process] = run
@@ -62,13 +62,13 @@
     def resumed(self, at, process):
         self._up_since[process] = at
 
-    def path(self, at, one, other, open_):
+    def path_changed(self, at, one, other, open_):
         self._path_since[frozenset((one, other))] = at if open_ else NEVER
 
-    def store(self, at, process, works):
+    def store_changed(self, at, process, works):
         self._store_since[process] = at if works else NEVER
 
-    # What is learned, and what ends it.
+    # Causes of leaving, and their end.
 
     def learned(self, at, process, host, cause):
         learning = Learning(at, process, self._runs[process], host, cause)
@@ -77,26 +77,26 @@
         self._learnings.append(learning)
         self._causes.add((host, cause))
 
-    def undrained(self, host, revision):
-        self._end(
+    def drain_ended(self, host, revision):
+        self._remove_ended(
             lambda h, cause: (
                 h == host and cause.kind == "drain" and int(cause.id) < revision
             )
         )
 
     def booted(self, host, boot):
-        self._end(lambda h, c: h == host and c.kind == "boot" and c.id != boot)
+        self._remove_ended(lambda h, c: h == host and c.kind == "boot" and c.id != boot)
 
     def end_runs(self, host):
         run = self._runs[host]
-        self._end(lambda h, c: h == host and c.kind == "run" and c.id != run)
+        self._remove_ended(lambda h, c: h == host and c.kind == "run" and c.id != run)
 
     def leaving(self):
-        """Return the hosts with a cause that holds."""
+        """Return the hosts that have a cause to leave."""
         return {host for host, _ in self._causes}
 
     def violations(self, at, process, offered):
-        """Return what a process must not offer at this time, but does."""
+        """Return a violation for each host that the process must no longer offer."""
         found = []
         first = {}
         for learning in self._learnings:
@@ -115,7 +115,7 @@
         if process == learning.process and self._runs[process] == learning.run:
             return up + GRACE_S
         if learning.cause.kind == "run":
-            return up + GRACE_S  # told if it can be, else it hears no heartbeat
+            return up + GRACE_S  # by a notice, or because heartbeats stop
         return (
             min(
                 self._by_peer(learning, process, is_first),
@@ -130,10 +130,10 @@
             return NEVER
         path = self._path_since.get(frozenset((learner, process)), 0.0)
         since = max(path, self._up_since[learner])
-        near = self._data_centres[learner] == self._data_centres[process]
-        if since > learning.at and not near:
-            return NEVER  # heartbeats do not join every pair of data centres
-        if not is_first and not near:
+        same_data_centre = self._data_centres[learner] == self._data_centres[process]
+        if since > learning.at and not same_data_centre:
+            return NEVER  # not every pair of remote hosts exchanges heartbeats
+        if not is_first and not same_data_centre:
             return NEVER
         return max(learning.at, since, self._up_since[process])
 
@@ -151,7 +151,7 @@
     def _same(self, one, other):
         return one[1:] == other[1:]
 
-    def _end(self, ended):
+    def _remove_ended(self, ended):
         self._causes = {pair for pair in self._causes if not ended(*pair)}
         self._learnings = [
             learning
--- a/tests/machines/oracle_point8_config.py
+++ b/tests/machines/oracle_point8_config.py
@@ -1,6 +1,6 @@
-"""Oracle of point 8; plain data in, ``AssertionError`` out.
+"""Oracle for point 8; raises ``AssertionError``.
 
-It shares no code with the product: rows and changes are plain mappings.
+It shares no code with the code under test: rows and changes are plain mappings.
 """
 
 LIMIT_S = 8.0
@@ -23,28 +23,30 @@
 
 
 class Oracle:
-    """Judges what the store holds, what operators hear and what is in force."""
+    """Checks the stored changes, the answers to operators and the adopted views."""
 
     def __init__(self):
         self.changes = []
         self.accepted_at = []
         self.states = replay([])
         self.answers = {}
-        self.shown = {}
+        self.shown_revisions = {}
         self.reachable_since = {}
 
-    def store(self, now_s, changes):
-        """Take the change rows of the store, in key order."""
+    def record_changes(self, now_s, changes):
+        """Record the change rows of the store, in key order."""
         revisions = [change["revision"] for change in changes]
-        assert revisions == list(range(1, len(changes) + 1)), "not one sequence"
+        assert revisions == list(range(1, len(changes) + 1)), (
+            "revisions are not consecutive"
+        )
         assert changes[: len(self.changes)] == self.changes, "a change was replaced"
         if len(changes) > len(self.changes):
             self.accepted_at += [now_s] * (len(changes) - len(self.changes))
             self.changes = list(changes)
             self.states = replay(changes)
 
-    def answer(self, operator, status, revision=0):
-        """Take an answer: ``accepted``, ``refused`` or ``unknown``.
+    def record_answer(self, operator, status, revision=0):
+        """Record an answer: ``accepted``, ``refused`` or ``unknown``.
 
         :param operator: a name used for this commit only
         """
@@ -59,31 +61,31 @@
             if status == "refused":
                 assert operator not in found, "a refused commit changed something"
 
-    def view(self, process, incarnation, revision, routes, pools):
-        """Take a view that a process showed."""
+    def check_view(self, process, incarnation, revision, routes, pools):
+        """Check a configuration that a process shows."""
         key = (process, incarnation)
-        assert revision >= self.shown.get(key, 0), "a view went back"
-        self.shown[key] = revision
+        assert revision >= self.shown_revisions.get(key, 0), "a view reverted"
+        self.shown_revisions[key] = revision
         assert revision < len(self.states), "a view shows an unaccepted change"
         assert (routes, pools) == self.states[revision], "a view is not a prefix"
 
-    def reach(self, now_s, processes):
-        """Take who can reach what at this moment.
+    def check_delays(self, now_s, processes):
+        """Check that no process is late to adopt a revision that it can reach.
 
         :param processes: by name: ``(incarnation, revision, running, store, peers)``
-            where ``store`` tells whether the store serves it and ``peers`` names
-            those it is connected to
+            where ``store`` is whether it can read the store and ``peers`` are the
+            names of the processes that it is connected to
         """
         for name, (incarnation, revision, running, store, peers) in processes.items():
-            for wanted in range(revision + 1, len(self.changes) + 1):
-                informed = store or any(
-                    processes[peer][2] and processes[peer][1] >= wanted
+            for expected in range(revision + 1, len(self.changes) + 1):
+                available = store or any(
+                    processes[peer][2] and processes[peer][1] >= expected
                     for peer in peers
                 )
-                key = (name, incarnation, wanted)
-                if not (running and informed):
+                key = (name, incarnation, expected)
+                if not (running and available):
                     self.reachable_since.pop(key, None)
                     continue
                 since_s = self.reachable_since.setdefault(key, now_s)
-                since_s = max(since_s, self.accepted_at[wanted - 1])
+                since_s = max(since_s, self.accepted_at[expected - 1])
                 assert now_s - since_s <= LIMIT_S, "a revision is late"
--- a/tests/machines/test_point6_leaving.py
+++ b/tests/machines/test_point6_leaving.py
@@ -10,14 +10,14 @@
 from .oracle_point6_leaving import Cause, LeavingOracle
 from .world_point6_leaving import ENTRIES, World
 
-# Few actors, so that faults meet; heartbeats do not join ruwi1 and seeb3.
+# Few hosts, so that faults coincide; ruwi1 and seeb3 exchange no heartbeats.
 PROCESSES = st.sampled_from(["ruwi1", "ruwi2", "seeb3"])
 HOSTS = st.sampled_from(["w1", "x1", "ruwi2"])
 COUNTS = Counts()
 
 
 class LeavingMachine(RuleBasedStateMachine):
-    """Drains, leaves and restarts among cuts, lags, outages and pauses."""
+    """Drains, leaves and restarts hosts among cut links, lags, outages and pauses."""
 
     membership_type = Membership
 
@@ -126,12 +126,13 @@
 
 
 def test_point_holds():
+    """Guards against new work for a host that has been leaving for over 3 s."""
     run_point(POINT, seed_number=1, histories=20)
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.__name__)
 def test_each_mechanism_is_needed(mutant):
-    # Guards against a machine that would not notice a lost mechanism.
+    # Guards against a machine that can't detect a missing mechanism.
     history = MUTANTS[mutant]
     run_history(Membership, history)
     with pytest.raises(AssertionError):
@@ -150,7 +151,7 @@
         machine.world.close()
 
 
-def oracle_of_two():
+def make_leaving_oracle():
     oracle = LeavingOracle({"e1": "ruwi", "e2": "ruwi", "s1": "seeb"})
     for process in ("e1", "e2", "s1"):
         oracle.started(0.0, process, f"{process}-1")
@@ -159,45 +160,45 @@
 
 
 def test_oracle_rejects_an_offer_after_three_seconds():
-    oracle = oracle_of_two()
+    oracle = make_leaving_oracle()
     for process in ("e1", "e2", "s1"):
         assert not oracle.violations(13.0, process, {"w1"})
         assert oracle.violations(13.1, process, {"w1"})
         assert not oracle.violations(13.1, process, {"x1"})
 
 
-def test_oracle_counts_either_route():
-    oracle = oracle_of_two()
-    oracle.store(0.0, "e2", False)
+def test_oracle_counts_both_store_and_peers():
+    oracle = make_leaving_oracle()
+    oracle.store_changed(0.0, "e2", False)
     assert oracle.violations(14.0, "e2", {"w1"})
-    oracle.path(0.0, "e1", "e2", False)
+    oracle.path_changed(0.0, "e1", "e2", False)
     assert not oracle.violations(99.0, "e2", {"w1"})
-    oracle.store(20.0, "e2", True)
+    oracle.store_changed(20.0, "e2", True)
     assert not oracle.violations(23.0, "e2", {"w1"})
     assert oracle.violations(23.1, "e2", {"w1"})
 
 
 def test_oracle_ends_a_drain_only_by_a_later_revision():
-    oracle = oracle_of_two()
-    oracle.undrained("w1", 4)
+    oracle = make_leaving_oracle()
+    oracle.drain_ended("w1", 4)
     oracle.booted("w1", "b2")
     assert oracle.violations(14.0, "e2", {"w1"})
-    oracle.undrained("w1", 6)
+    oracle.drain_ended("w1", 6)
     assert not oracle.violations(14.0, "e2", {"w1"})
 
 
 def test_oracle_ends_a_boot_only_by_a_new_one():
-    oracle = oracle_of_two()
+    oracle = make_leaving_oracle()
     oracle.learned(10.0, "e1", "x1", Cause("boot", "b1"))
-    oracle.undrained("x1", 9)
+    oracle.drain_ended("x1", 9)
     oracle.booted("x1", "b1")
     assert oracle.violations(14.0, "e1", {"x1"})
     oracle.booted("x1", "b2")
     assert not oracle.violations(14.0, "e1", {"x1"})
 
 
-def test_oracle_gives_paused_and_restarted_processes_their_time():
-    oracle = oracle_of_two()
+def test_oracle_extends_the_deadline_after_a_pause_or_restart():
+    oracle = make_leaving_oracle()
     oracle.paused("e2")
     assert not oracle.violations(99.0, "e2", {"w1"})
     oracle.resumed(20.0, "e2")
@@ -207,10 +208,10 @@
     assert oracle.violations(33.1, "e2", {"w1"})
 
 
-def test_oracle_expects_silence_to_hide_a_process_that_left():
-    oracle = oracle_of_two()
+def test_oracle_rejects_an_offer_of_a_silent_process_that_left():
+    oracle = make_leaving_oracle()
     oracle.learned(10.0, "s1", "s1", Cause("run", "s1-1"))
-    oracle.path(0.0, "s1", "e1", False)
+    oracle.path_changed(0.0, "s1", "e1", False)
     assert oracle.violations(13.1, "e1", {"s1"})
     oracle.started(14.0, "s1", "s1-2")
     assert not oracle.violations(18.0, "e1", {"s1"})
--- a/tests/machines/test_point8_config.py
+++ b/tests/machines/test_point8_config.py
@@ -1,4 +1,4 @@
-"""Point 8: an accepted configuration is in force within 8 s, never reverts."""
+"""Point 8: an accepted configuration is adopted within 8 s and never reverts."""
 
 import pytest
 from bilberryhitch_config import ConfigService, commits, rows, service
@@ -17,7 +17,7 @@
 
 
 class ConfigMachine(RuleBasedStateMachine):
-    """Operators at several hosts among cuts, outages, pauses and restarts."""
+    """Commits changes at several hosts among cut links, outages and restarts."""
 
     service_type = ConfigService
 
@@ -131,14 +131,15 @@
 
 
 def test_point_holds():
+    """Guards against late, lost, partial or reverted configuration changes."""
     run_point(POINT, seed_number=1, histories=60)
 
 
-# Each mechanism is taken away; a short history of the machine's own rules must
-# then be rejected. The same history must hold with the mechanism in place.
+# Each mutant removes one mechanism; the oracle must then reject a short history of
+# the machine's rules that holds with the mechanism in place.
 
 
-def no_comparison(monkeypatch):
+def no_revision_check(monkeypatch):
     async def write(tables, proposal):
         change = proposal.change
         writes = commits.change_writes(change)
@@ -163,7 +164,7 @@
     monkeypatch.setattr(ConfigService, "_poll_once", poll_once)
 
 
-def no_questions(monkeypatch):
+def no_revision_requests(monkeypatch):
     monkeypatch.setattr(ConfigService, "_ask", lambda self, host: None)
 
 
@@ -187,7 +188,7 @@
     monkeypatch.setattr(commits, "commit", commit_once)
 
 
-def gaps_skipped(monkeypatch):
+def gaps_ignored(monkeypatch):
     def apply_changes(tables, changes):
         for change in changes:
             if change.revision > tables.revision:
@@ -256,13 +257,13 @@
 
 
 MUTANTS = [
-    (no_comparison, race_and_wait),
+    (no_revision_check, race_and_wait),
     (lower_revisions_adopted, old_offer),
     (no_poll, commit_while_cut_off),
-    (no_questions, restart_without_store),
+    (no_revision_requests, restart_without_store),
     (unconfirmed_snapshot, commit_during_snapshot),
     (lost_answer_taken_for_refusal, lost_answer),
-    (gaps_skipped, offers_with_a_gap),
+    (gaps_ignored, offers_with_a_gap),
 ]
 
 
@@ -276,7 +277,8 @@
 
 
 @pytest.mark.parametrize(("remove", "history"), MUTANTS)
-def test_machine_needs_each_mechanism(remove, history, monkeypatch):
+def test_removed_mechanism_fails_its_history(remove, history, monkeypatch):
+    """Guards against a machine that can't detect a missing mechanism."""
     run_history(history)
     remove(monkeypatch)
     with pytest.raises(AssertionError):
@@ -293,71 +295,71 @@
 SECOND = change(2, "bob", put_pools=[P2], put_routes=[{"name": "r"}])
 
 
-def replaced(oracle):
-    oracle.store(1, [change(1, "eve")])
+def replaced_change(oracle):
+    oracle.record_changes(1, [change(1, "eve")])
 
 
-def with_gap(oracle):
-    oracle.store(1, [FIRST, change(3)])
+def revision_gap(oracle):
+    oracle.record_changes(1, [FIRST, change(3)])
 
 
 def refused_but_applied(oracle):
-    oracle.answer("bob", "refused")
+    oracle.record_answer("bob", "refused")
     oracle.check_answers()
 
 
 def accepted_but_missing(oracle):
-    oracle.answer("eve", "accepted", 3)
+    oracle.record_answer("eve", "accepted", 3)
     oracle.check_answers()
 
 
 def applied_twice(oracle):
-    oracle.store(1, [FIRST, SECOND, change(3, "bob")])
+    oracle.record_changes(1, [FIRST, SECOND, change(3, "bob")])
     oracle.check_answers()
 
 
-def went_back(oracle):
-    oracle.view("a1", 1, 2, {"r": {"name": "r"}}, {"p": P2})
-    oracle.view("a1", 1, 1, {}, {"p": P1})
+def reverted_view(oracle):
+    oracle.check_view("a1", 1, 2, {"r": {"name": "r"}}, {"p": P2})
+    oracle.check_view("a1", 1, 1, {}, {"p": P1})
 
 
-def partial(oracle):
-    oracle.view("a1", 1, 2, {}, {"p": P2})
+def partial_view(oracle):
+    oracle.check_view("a1", 1, 2, {}, {"p": P2})
 
 
-def unaccepted(oracle):
-    oracle.view("a1", 1, 3, {}, {"p": P2})
+def unaccepted_revision(oracle):
+    oracle.check_view("a1", 1, 3, {}, {"p": P2})
 
 
-def late(oracle):
+def revision_late(oracle):
     for now_s in (0.0, 8.5):
-        oracle.reach(now_s, {"a1": (1, 1, True, True, [])})
+        oracle.check_delays(now_s, {"a1": (1, 1, True, True, [])})
 
 
-def late_beside_informed_peer(oracle):
+def late_beside_updated_peer(oracle):
     for now_s in (0.0, 8.5):
         peer = (1, 2, True, False, [])
-        oracle.reach(now_s, {"a1": (1, 1, True, False, ["b1"]), "b1": peer})
+        oracle.check_delays(now_s, {"a1": (1, 1, True, False, ["b1"]), "b1": peer})
 
 
 BROKEN = [
-    replaced,
-    with_gap,
+    replaced_change,
+    revision_gap,
     refused_but_applied,
     accepted_but_missing,
     applied_twice,
-    went_back,
-    partial,
-    unaccepted,
-    late,
-    late_beside_informed_peer,
+    reverted_view,
+    partial_view,
+    unaccepted_revision,
+    revision_late,
+    late_beside_updated_peer,
 ]
 
 
 @pytest.mark.parametrize("history", BROKEN)
 def test_oracle_rejects(history):
     oracle = Oracle()
-    oracle.store(0.0, [FIRST, SECOND])
+    oracle.record_changes(0.0, [FIRST, SECOND])
     oracle.check_answers()
     with pytest.raises(AssertionError):
         history(oracle)
@@ -365,7 +367,7 @@
 
 def test_oracle_accepts_a_cut_off_process_that_lags():
     oracle = Oracle()
-    oracle.store(0.0, [FIRST, SECOND])
+    oracle.record_changes(0.0, [FIRST, SECOND])
     for now_s in (0.0, 100.0):
-        oracle.reach(now_s, {"a1": (1, 0, True, False, [])})
-    oracle.view("a1", 2, 1, {}, {"p": P1})
+        oracle.check_delays(now_s, {"a1": (1, 0, True, False, [])})
+    oracle.check_view("a1", 2, 1, {}, {"p": P1})
--- a/tests/machines/world_point6_leaving.py
+++ b/tests/machines/world_point6_leaving.py
@@ -1,4 +1,4 @@
-"""Several memberships in one process, on virtual time, with every fault."""
+"""Simulates the memberships of several hosts on virtual time, with faults."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
     def __init__(self, membership_type=Membership):
         self._type = membership_type
         self.loop = VirtualTimeLoop()
-        self.loop.set_exception_handler(self._keep_error)
+        self.loop.set_exception_handler(self._collect_error)
         self._errors = []
         self.oracle = LeavingOracle(ENTRIES)
         self.inner = WatchedTables(self.oracle, TARGETS)
@@ -46,11 +46,11 @@
         self.delay_s = 0.0
         self.duplicate = False
         self.paused = set()
-        self._held = []
+        self._held_messages = []
         self._numbers = count(1)
         self._operations = set()
         for name in ENTRIES:
-            self.tables[name] = ProcessTables(self.inner, self._learner(name))
+            self.tables[name] = ProcessTables(self.inner, self._learned_callback(name))
             self._start(name)
         self.advance(4.0)
 
@@ -72,20 +72,22 @@
 
     def set_listed(self, host, state):
         self._hosts[host] = self._hosts[host]._replace(state=state)
-        self._snap()
+        self._take_snapshot()
 
     def reboot(self, host):
         self.boots[host] = f"{host}-b{next(self._numbers) + 1}"
         self.oracle.booted(host, self.boots[host])
         self._hosts[host] = self._host(host)
-        self._snap()
+        self._take_snapshot()
         if host in ENTRIES:
             self.restart(host)
 
     def restart(self, process):
         self.resume(process)
         self._close(process)
-        self._held = [held for held in self._held if process not in held[:2]]
+        self._held_messages = [
+            held for held in self._held_messages if process not in held[:2]
+        ]
         self._start(process)
         self.advance(0.0)
 
@@ -102,10 +104,10 @@
         if len(pair) == 1 or (pair not in self.cut) == open_:
             return
         (self.cut.discard if open_ else self.cut.add)(pair)
-        self.oracle.path(self.time_s, one, other, open_)
+        self.oracle.path_changed(self.time_s, one, other, open_)
 
     def leave_one_path(self, process, partner):
-        """Cut a process from all but one other, and from the store."""
+        """Cut a process off from the store and from all peers but one."""
         for other in ENTRIES:
             self.set_path(process, other, other == partner)
         self.set_store(process, down=True)
@@ -116,7 +118,7 @@
         tables.down, tables.slow_s = down, slow_s
         works = not down and slow_s == 0.0
         if works != worked:
-            self.oracle.store(self.time_s, process, works)
+            self.oracle.store_changed(self.time_s, process, works)
 
     def pause(self, process):
         if process in self.paused:
@@ -131,13 +133,13 @@
         self.paused.discard(process)
         self.tables[process].resume()
         self.oracle.resumed(self.time_s, process)
-        held, self._held = self._held, []
+        held, self._held_messages = self._held_messages, []
         for sender, receiver, message in held:
             self._transmit(sender, receiver, message)
         self.advance(0.0)
 
     def advance(self, seconds):
-        """Let time pass; check the oracle on the way."""
+        """Advance the clock in steps and check the oracle after each."""
         end_s = self.time_s + seconds
         while True:
             step_s = min(STEP_S, end_s - self.time_s)
@@ -146,7 +148,7 @@
             if self.time_s >= end_s - 1e-9:
                 return
 
-    def _keep_error(self, loop, context):
+    def _collect_error(self, loop, context):
         self._errors.append(context)
 
     def check(self):
@@ -158,7 +160,7 @@
             assert not found, (self.time_s, found)
 
     def settle(self):
-        """Repair everything; then exactly the hosts not leaving are offered."""
+        """End all faults; then exactly the hosts that are not leaving are offered."""
         for name in ENTRIES:
             self.resume(name)
             self.set_store(name)
@@ -168,7 +170,7 @@
                 self.set_path(name, other, True)
         self.delay_s, self.duplicate = 0.0, False
         self.advance(5.0)
-        self.loop.advance(2 * HOST_LIST_LAG_S)  # order of boots is certain
+        self.loop.advance(2 * HOST_LIST_LAG_S)  # until the order of boots is certain
         self.check()
         leaving = self.oracle.leaving() | {
             host.name for host in self._hosts.values() if host.state == "leaving"
@@ -186,7 +188,7 @@
         self.loop.run_until_complete(asyncio.sleep(0))
         self.loop.close()
 
-    # What the processes and the oracle see.
+    # Inputs of the processes and of the oracle.
 
     def offers(self, process):
         """Return every host that a process would give new work."""
@@ -220,7 +222,7 @@
         row = self.inner._rows.get(f"drains/{host}")
         return row.revision > revision and not json.loads(row.value)["leaving"]
 
-    def _learner(self, process):
+    def _learned_callback(self, process):
         return lambda host, cause: self.learned(process, host, cause)
 
     async def _operate(self, operation, at, host, leaving):
@@ -230,7 +232,7 @@
             self.learned(at, host, Cause("drain", str(result.ok.revision)))
         assert result.is_ok() or isinstance(result.error, StoreError)
 
-    # Processes and their link.
+    # Processes and the messages between them.
 
     def _start(self, name):
         run = f"{name}-i{next(self._numbers)}"
@@ -260,7 +262,7 @@
     def _transmit(self, sender, receiver, message):
         if sender in self.paused:
             if not isinstance(message, Heartbeat):
-                self._held.append((sender, receiver, message))
+                self._held_messages.append((sender, receiver, message))
             return True
         if frozenset((sender, receiver)) in self.cut:
             return True
@@ -273,7 +275,7 @@
         if frozenset((sender, receiver)) in self.cut or receiver not in self.processes:
             return
         if receiver in self.paused:
-            self._held.append((sender, receiver, message))
+            self._held_messages.append((sender, receiver, message))
             return
         membership = self.processes[receiver].membership
         if isinstance(message, Heartbeat):
@@ -291,5 +293,5 @@
         kind, data_centre = ENDPOINTS.get(name) or ("entry", ENTRIES[name])
         return Host(name, kind, data_centre, "", boot_id=self.boots[name])
 
-    def _snap(self):
+    def _take_snapshot(self):
         self._snapshots.append((self.time_s, tuple(self._hosts.values())))
--- a/tests/machines/world_point8_config.py
+++ b/tests/machines/world_point8_config.py
@@ -1,4 +1,4 @@
-"""Several configuration services on one virtual clock, with faults between."""
+"""Simulates several configuration services on a virtual clock, with faults."""
 
 import asyncio
 import json
@@ -16,24 +16,24 @@
 CENTRES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 HEARTBEAT_S = 0.5
 SAMPLE_S = 0.25
-# A slower store takes longer than the limit for the reads of a snapshot.
+# With a slower store, reading a snapshot exceeds the limit of point 8.
 USABLE_SLOW_S = 0.5
 SETTLE_S = 9.0
-# Calls that take time let other processes act between the steps of a commit.
+# Store calls take time, so that other processes act between steps of a commit.
 LATENCY_S = 0.01
 ROWS = ("r1", "r2", "r3")
 
 
-def plain(value):
+def to_plain_data(value):
     if isinstance(value, tuple) and hasattr(value, "_asdict"):
-        return {name: plain(item) for name, item in value._asdict().items()}
+        return {name: to_plain_data(item) for name, item in value._asdict().items()}
     if isinstance(value, tuple | list):
-        return [plain(item) for item in value]
+        return [to_plain_data(item) for item in value]
     return value
 
 
 class Process:
-    """One entry host: its service, its client of the store and its faults."""
+    """One entry host: its service, its store client and its faults."""
 
     def __init__(self, name, tables):
         self.name = name
@@ -60,7 +60,7 @@
         self.ids = count(1)
         self.operators = count(1)
         self.old_offers = []
-        # Errors inside callbacks do not reach the test by themselves.
+        # Errors in callbacks do not propagate to the test.
         self.failures = []
         self.loop.set_exception_handler(
             lambda loop, context: self.failures.append(context.get("exception"))
@@ -88,7 +88,7 @@
             send=lambda host, message: self.send(name, [host], message),
             hosts=list,
         )
-        process.service.subscribe(lambda tables: self.adopted(name, run, tables))
+        process.service.subscribe(lambda tables: self.on_adopted(name, run, tables))
         self.loop.run_until_complete(process.service.start())
 
     def kill(self, name):
@@ -112,21 +112,21 @@
         for action in held:
             self.loop.call_soon(action)
 
-    def adopted(self, name, run, tables):
+    def on_adopted(self, name, run, tables):
         try:
-            self.show(name, run, tables)
+            self.check_shown_view(name, run, tables)
         except Exception as error:
             self.failures.append(error)
         self.old_offers.append(ConfigOffer(tables.revision, snapshot=encode(tables)))
 
-    def show(self, name, run, tables):
+    def check_shown_view(self, name, run, tables):
         self.read_store()
-        self.oracle.view(
+        self.oracle.check_view(
             name,
             run,
             tables.revision,
-            {key: plain(row) for key, row in tables.routes.items()},
-            {key: plain(row) for key, row in tables.pools.items()},
+            {key: to_plain_data(row) for key, row in tables.routes.items()},
+            {key: to_plain_data(row) for key, row in tables.pools.items()},
         )
 
     # Operators
@@ -142,14 +142,14 @@
     async def _commit(self, process, change, base, operator):
         result = await process.service.commit(change, base, operator)
         if result.is_ok():
-            self.oracle.answer(operator, "accepted", result.ok.revision)
+            self.oracle.record_answer(operator, "accepted", result.ok.revision)
         elif isinstance(result.error, StoreAnswerLost):
-            self.oracle.answer(operator, "unknown")
+            self.oracle.record_answer(operator, "unknown")
         else:
-            self.oracle.answer(operator, "refused")
+            self.oracle.record_answer(operator, "refused")
 
     def change(self, kind):
-        """Return a change whose rows all carry a number of its own."""
+        """Return a change whose rows all contain a number unique to it."""
         number = next(self.ids)
         pool = Pool("p", "job", max_queued=number)
         routes = tuple(
@@ -199,16 +199,16 @@
             if not process.paused:
                 self.send(name, others, process.service.tables_view.revision)
 
-    # Time and judgement
+    # Time and checks
 
     def advance(self, seconds):
         for _ in range(max(1, round(seconds / SAMPLE_S))):
             if round(self.loop.time() / SAMPLE_S) % 2 == 0:
                 self.heartbeats()
             self.loop.advance(SAMPLE_S)
-            self.judge()
+            self.check()
 
-    def judge(self):
+    def check(self):
         for failure in self.failures:
             raise failure
         self.read_store()
@@ -216,7 +216,7 @@
         states = {}
         for name, process in self.processes.items():
             tables = process.service.tables_view
-            self.show(name, process.incarnation, tables)
+            self.check_shown_view(name, process.incarnation, tables)
             store = not process.tables.down and process.tables.slow_s <= USABLE_SLOW_S
             peers = [
                 other
@@ -225,13 +225,13 @@
             ]
             running = not process.paused
             states[name] = process.incarnation, tables.revision, running, store, peers
-        self.oracle.reach(self.loop.time(), states)
+        self.oracle.check_delays(self.loop.time(), states)
 
     def read_store(self):
-        # Rows are read below the client's interface, without yielding to the loop.
+        # Read the rows directly, so that nothing else runs in between.
         rows = self.inner._rows
         keys = rows.irange("config/change/", "config/change0")
-        self.oracle.store(
+        self.oracle.record_changes(
             self.loop.time(), [json.loads(rows[key].value) for key in keys]
         )
 
@@ -244,7 +244,7 @@
         revisions = {
             process.service.tables_view.revision for process in self.processes.values()
         }
-        assert revisions == {len(self.oracle.changes)}, "not in force everywhere"
+        assert revisions == {len(self.oracle.changes)}, "not adopted everywhere"
 
     def close(self):
         for name in self.processes:
