--- a/libs/jobs/tests/test_job_api.py
+++ b/libs/jobs/tests/test_job_api.py
@@ -184,6 +184,7 @@
 def test_an_attempt_without_response_is_retried():
     store = Store("lost_undone")
     assert submit(store).kind is ReplyKind.ACCEPTED
+    # The store does not count the attempt without effect.
     assert store.calls >= 1
 
 
--- a/libs/scheduling/src/bilberryhitch_scheduling/fair_queue.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/fair_queue.py
@@ -295,7 +295,9 @@
                     entry = newest_droppable(caller)
                     if entry is not None:
                         self.remove(entry)
-                        wait = self._take_interval_s * (account.queued + 1)
-                        retry = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait))
-                        return Dropped(entry.item, account.name, retry)
+                        wait_s = self._take_interval_s * (account.queued + 1)
+                        retry_after_s = min(
+                            MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)
+                        )
+                        return Dropped(entry.item, account.name, retry_after_s)
         return None
--- a/libs/scheduling/src/bilberryhitch_scheduling/guaranteed_cells.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/guaranteed_cells.py
@@ -79,7 +79,7 @@
         self._size_classes: list[_SizeClass] = []
         self._counts: dict[GuaranteeKey, int] = {}
         self._by_account: dict[str, list[GuaranteeKey]] = {}
-        self._changes = 0
+        self._change_count = 0
         self._cached_shortage: tuple[int, int, tuple[int, ...]] = (-1, -1, ())
         self.set_rows(rows)
 
@@ -107,7 +107,7 @@
         self._size_classes = [
             size_classes[size] for size in sorted(size_classes, reverse=True)
         ]
-        self._changes += 1
+        self._change_count += 1
 
     def guaranteed_accelerators(self, client_account: str) -> int:
         """Return the number of accelerators guaranteed to an account."""
@@ -161,7 +161,7 @@
         self._bound_by_key.setdefault(key, []).append(bound)
         self._bound_by_cell[cell] = bound
         self._reclaimable.mark(self._accelerators_in(cell))
-        self._changes += 1
+        self._change_count += 1
         return bound
 
     def unbind(self, bound: BoundCell) -> None:
@@ -169,7 +169,7 @@
         self._bound_by_key[bound.key].remove(bound)
         del self._bound_by_cell[bound.cell]
         self._reclaimable.unmark(self._accelerators_in(bound.cell))
-        self._changes += 1
+        self._change_count += 1
 
     def bound_cell_around(self, cell: int) -> BoundCell | None:
         """Return the bound cell that is or contains a cell, or ``None``."""
@@ -182,10 +182,10 @@
     def shortage(self) -> tuple[int, ...]:
         """Return how many unbound cells do not fit, per cell size, large first."""
         changes, version, found = self._cached_shortage
-        if changes == self._changes and version == self._reclaimable.version:
+        if changes == self._change_count and version == self._reclaimable.version:
             return found
         found = self._count_shortage()
-        self._cached_shortage = (self._changes, self._reclaimable.version, found)
+        self._cached_shortage = (self._change_count, self._reclaimable.version, found)
         return found
 
     def shortfall(self, data_centre: str) -> list[GuaranteeShortfall]:
