--- a/features/steps/point1_steps.py
+++ b/features/steps/point1_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the reclaim of guaranteed cells."""
+"""Steps for the reclaim of guaranteed cells."""
 
 from behave import given, then, when
 from bilberryhitch_model import Evict, Guarantee, Host, Pool, QueuedJob, Shape, Start
@@ -17,7 +17,7 @@
     for decision in context.decisions:
         if isinstance(decision, Start):
             context.scheduler.started(decision.job_id, context.now)
-            context.places[decision.job_id] = decision.placement
+            context.placements[decision.job_id] = decision.placement
 
 
 def set_guarantee(context, account, size):
@@ -31,7 +31,7 @@
 )
 def gpu_pool(context, count, account, size):
     context.now = 0.0
-    context.places = {}
+    context.placements = {}
     context.hosts = [
         Host(f"w{n}", "worker", "ruwi", "", "live", "", "r", n, 8, 64, 64)
         for n in range(count)
@@ -78,13 +78,13 @@
 @then("the gang starts once these evictions are confirmed")
 def gang_starts(context):
     evicted = [decision.job_id for decision in context.decisions]
-    places = {m.host for j in evicted for m in context.places[j].members}
+    hosts = {m.host for j in evicted for m in context.placements[j].members}
     for job_id in evicted:
         assert context.scheduler.decide(context.now) == []
         context.scheduler.evicted(job_id, context.now)
     (start,) = context.scheduler.decide(context.now)
     assert (start.job_id, start.borrowed) == ("gang", False)
-    assert {member.host for member in start.placement.members} == places
+    assert {member.host for member in start.placement.members} == hosts
 
 
 @then("{count:d} simulations start")
--- a/features/steps/point2_steps.py
+++ b/features/steps/point2_steps.py
@@ -1,4 +1,4 @@
-"""Steps about gangs."""
+"""Steps for gangs."""
 
 from behave import given, then, when
 
--- a/features/steps/point3_steps.py
+++ b/features/steps/point3_steps.py
@@ -1,4 +1,4 @@
-"""Steps about whole answers."""
+"""Steps for whole answers to the right caller."""
 
 from behave import given, then, when
 
--- a/features/steps/point4_steps.py
+++ b/features/steps/point4_steps.py
@@ -1,4 +1,4 @@
-"""Steps about requests that were not run."""
+"""Steps for requests that were not run."""
 
 from behave import given, then, when
 
--- a/features/steps/point5_jobs_steps.py
+++ b/features/steps/point5_jobs_steps.py
@@ -1,4 +1,4 @@
-"""Steps about jobs that run at most once."""
+"""Steps for points 4 and 5 of jobs: one run at most, and truthful answers."""
 
 from behave import given, then, when
 from bilberryhitch_model.errors import NotRun
--- a/features/steps/point5_steps.py
+++ b/features/steps/point5_steps.py
@@ -1,4 +1,4 @@
-"""Steps about non-idempotent requests."""
+"""Steps for non-idempotent requests."""
 
 from behave import given, then, when
 
@@ -56,7 +56,7 @@
 
 
 @then("a retry of the keyed request is unknown and runs nothing")
-def unknown_for_good(context):
+def retry_is_unknown(context):
     statuses = {context.world.calls[call].status for call in context.calls}
     assert statuses == {"unknown"}, statuses
     assert runs(context.world.finish()) == 1
--- a/features/steps/point6_steps.py
+++ b/features/steps/point6_steps.py
@@ -1,4 +1,4 @@
-"""Steps about hosts that are leaving."""
+"""Steps for hosts that are leaving."""
 
 from behave import given, then, when
 
@@ -28,17 +28,17 @@
 
 
 @given("entry hosts in two data centres that know a worker is leaving")
-def all_know(context):
+def all_informed(context):
     world = new_world(context)
     world.advance(45.0)
     world.set_listed(WORKER, "leaving")
     world.advance(5.0)
-    assert offering(world, WORKER) == set()
+    assert hosts_that_offer(world, WORKER) == set()
 
 
 @when("an operator drains a worker at another entry host")
 def drain(context):
-    assert offering(context.world, WORKER) == set(ENTRIES)
+    assert hosts_that_offer(context.world, WORKER) == set(ENTRIES)
     context.world.write_drain(OTHER, WORKER, True)
 
 
@@ -64,18 +64,18 @@
 
 @then("no entry host offers the leaving worker")
 def worker_not_offered(context):
-    assert offering(context.world, WORKER) == set()
+    assert hosts_that_offer(context.world, WORKER) == set()
 
 
 @then("every entry host offers the worker that had left")
 def worker_offered(context):
-    assert offering(context.world, WORKER) == set(ENTRIES)
+    assert hosts_that_offer(context.world, WORKER) == set(ENTRIES)
 
 
 @then("no entry host offers the leaving entry host")
 def entry_host_not_offered(context):
-    assert offering(context.world, CUT_OFF) == set()
+    assert hosts_that_offer(context.world, CUT_OFF) == set()
 
 
-def offering(world, host):
+def hosts_that_offer(world, host):
     return {name for name in ENTRIES if host in world.offers(name)}
--- a/features/steps/point7_steps.py
+++ b/features/steps/point7_steps.py
@@ -1,4 +1,4 @@
-"""Steps about graceful shutdown."""
+"""Steps for graceful shutdown."""
 
 import asyncio
 
--- a/features/steps/point8_steps.py
+++ b/features/steps/point8_steps.py
@@ -1,4 +1,4 @@
-"""Steps about configuration changes; the oracle of point 8 judges each."""
+"""Steps for configuration changes; the oracle of point 8 checks each one."""
 
 from behave import given, then, when
 from bilberryhitch_config import ConfigService
@@ -59,7 +59,7 @@
 
 
 @then("every entry host shows the accepted configuration after 8 s")
-def in_force(context):
+def adopted_everywhere(context):
     context.world.advance(8.0)
     accepted = len(context.world.oracle.changes)
     for process in context.world.processes.values():
--- a/features/steps/store_steps.py
+++ b/features/steps/store_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the table service."""
+"""Steps for the table service."""
 
 from behave import given, then, when
 from bilberryhitch_platform import MemoryTables, Put, commit
--- a/tests/machines/fakes_point6_leaving.py
+++ b/tests/machines/fakes_point6_leaving.py
@@ -64,7 +64,7 @@
         self._calls = 0
 
     async def list_hosts(self):
-        await self._world.tables[self._process]._running.wait()
+        await self._world.tables[self._process]._unpaused.wait()
         self._calls += 1
         if self.mode == "down":
             raise StoreUnavailable("list_hosts")
--- a/tests/machines/world_point2_gangs.py
+++ b/tests/machines/world_point2_gangs.py
@@ -208,7 +208,7 @@
             raise WorkerUnreachable(host.name) from error
 
     async def _deliver(self, worker, act):
-        await self.tables._running.wait()
+        await self.tables._unpaused.wait()
         await asyncio.sleep(LATENCY_S)
         if act is None or worker.paused or worker.host.name in self.cut:
             await asyncio.Event().wait()
@@ -221,7 +221,7 @@
             await asyncio.Event().wait()
         await self.step()
         await asyncio.sleep(LATENCY_S)
-        await self.tables._running.wait()
+        await self.tables._unpaused.wait()
         if error is not None:
             raise error
         return answer
