--- a/libs/membership/src/bilberryhitch_membership/leaving_hosts.py
+++ b/libs/membership/src/bilberryhitch_membership/leaving_hosts.py
@@ -31,7 +31,7 @@
             lambda: IncarnationTracker(LIVENESS_TIMEOUT_S)
         )
         self._processes[identity.host].observe(identity.incarnation, 0.0)
-        self._candidates: set[str] = set()
+        self._maybe_leaving: set[str] = set()
         self._own_host = identity.host
         self._last_update_s: dict[str, float] = {}
         self.drains_revision = 0
@@ -45,7 +45,7 @@
         if notice.store_revision:
             return self._drains.apply_notice(notice)
         self._last_update_s[notice.host] = now_s
-        self._candidates.add(notice.host)
+        self._maybe_leaving.add(notice.host)
         if notice.incarnation:
             return self._processes[notice.host].mark_leaving(notice.incarnation, now_s)
         return self._boots[notice.host].mark_leaving(notice.boot_id, now_s)
@@ -66,7 +66,7 @@
         boots = self._boots[host.name]
         boots.observe(host.boot_id, now_s)
         if boots.is_leaving(now_s):
-            self._candidates.add(host.name)
+            self._maybe_leaving.add(host.name)
 
     def expire(self, before_s: float, listed: Container[str]) -> None:
         """Remove the boots and processes of hosts that disappeared; drains are kept.
@@ -121,7 +121,7 @@
 
     def _incarnation_notices(self, now_s: float) -> list[DrainNotice]:
         notices: list[DrainNotice] = []
-        for host in list(self._candidates):
+        for host in list(self._maybe_leaving):
             host_notices = [
                 DrainNotice(host, True, 0, boot_id=boot)
                 for boot in self.leaving_boots(host, now_s)
@@ -132,6 +132,6 @@
                     for incarnation in self._processes[host].leaving_ids(now_s)
                 ]
             if not host_notices:
-                self._candidates.discard(host)
+                self._maybe_leaving.discard(host)
             notices += host_notices
         return notices
--- a/libs/peers/src/bilberryhitch_peers/messages.py
+++ b/libs/peers/src/bilberryhitch_peers/messages.py
@@ -70,9 +70,8 @@
 class ForwardRequest(msgspec.Struct, frozen=True, tag="forward_request"):
     """A request forwarded to the entry host that owns the executor slots.
 
-    :ivar handle: the request's handle at the forwarding entry host
-    :ivar wait_s: how long the forwarding entry host waits for the outcome, in
-        seconds
+    :ivar handle: forward id, which starts with the request's handle
+    :ivar wait_s: longest wait for a slot at the receiver, in seconds
     """
 
     call: RequestCall
@@ -81,21 +80,34 @@
 
 
 class ForwardReply(msgspec.Struct, frozen=True, tag="forward_reply"):
-    """Outcome of a forwarded request."""
+    """Outcome of a forwarded request.
+
+    :ivar handle: run id, or the forward id if no run was started
+    """
 
     handle: str
     outcome: Outcome
 
 
 class RequestStatusAsk(msgspec.Struct, frozen=True, tag="request_status_ask"):
-    """Requests the outcome from the entry host named in the handle."""
+    """Requests the outcome of a request or of a forwarded run, or a grant.
+
+    :ivar handle: handle, sent to the host that made it, or run id: sent to the host
+        that forwarded the request it asks for a grant, sent to the host that runs
+        it for the outcome
+    """
 
     handle: str
     client_account: str
 
 
 class RequestStatusReply(msgspec.Struct, frozen=True, tag="request_status_reply"):
-    """Outcome of a request; ``None`` if the handle is unknown."""
+    """Reply to a :class:`RequestStatusAsk`.
+
+    :ivar handle: handle or run id of the query
+    :ivar outcome: the outcome; its detail is ``granted`` if a grant was given. ``None``
+        if the handle or run id is unknown
+    """
 
     handle: str
     outcome: Outcome | None
@@ -115,7 +127,10 @@
 
 
 class CancelReply(msgspec.Struct, frozen=True, tag="cancel_reply"):
-    """The encoded job record as the receiver found it; empty if it has none."""
+    """The encoded job record as the receiver of a :class:`CancelJob` found it.
+
+    :ivar record: empty if the receiver could not read the record
+    """
 
     job_id: str
     record: bytes
--- a/libs/planner/src/bilberryhitch_planner/cluster_state.py
+++ b/libs/planner/src/bilberryhitch_planner/cluster_state.py
@@ -20,7 +20,8 @@
 # A run without progress for this share of its estimated run time is stalled. Even a
 # run that is slowed down eightfold on a slow worker gains several percent in that time.
 STALL_SHARE = 0.25
-# Three heartbeats of an urgent run; a run that works shows progress within this time.
+# Applies to short runs, such as urgent ones. Three heartbeats, 0.6 s apart, span this
+# time, and a run that works shows progress within it.
 MIN_STALL_TIMEOUT_S = 1.2
 MAX_STALL_TIMEOUT_S = 3.5
 
--- a/libs/planner/src/bilberryhitch_planner/leading_planner.py
+++ b/libs/planner/src/bilberryhitch_planner/leading_planner.py
@@ -326,7 +326,7 @@
 
 
 class Candidate:
-    """Runs for the leader lease and plans while this host holds it.
+    """Competes for the leader lease and plans while this host holds it.
 
     :param acquire_lease: returns once this host holds the lease
     :param create_planner: returns the planner for a lease term
@@ -349,7 +349,7 @@
         return self._active is not None
 
     def start(self) -> None:
-        """Start to run for the lease in the background."""
+        """Start to compete for the lease in the background."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
--- a/libs/planner/src/bilberryhitch_planner/planner.py
+++ b/libs/planner/src/bilberryhitch_planner/planner.py
@@ -45,7 +45,8 @@
 # A worker that starts at an address this soon after another one ended there may be
 # in a crash loop; it takes over the failure count.
 RESTART_MEMORY_S = 8.0
-# A worker lists at most this many ended runs in one reply.
+# A worker lists at most this many ended runs in one reply. After a full list a run
+# that is missing may still be listed as ended in a later reply.
 MAX_ENDS_PER_REPLY = 500
 
 
@@ -332,17 +333,19 @@
             run.settled_at = now
 
     def apply_advice(
-        self, order: AdviceRequest, advice: Advice | None, *, now: float
+        self, request: AdviceRequest, advice: Advice | None, *, now: float
     ) -> None:
         """Apply a reply of the advice service; None if there was no usable reply."""
-        known = self._state.permissions.get((order.job, order.occurrence, order.step))
+        known = self._state.permissions.get(
+            (request.job, request.occurrence, request.step)
+        )
         if known is not None and advice is not None:
-            known.apply_reply(order.workers, advice.granted, now + advice.valid_s)
+            known.apply_reply(request.workers, advice.granted, now + advice.valid_s)
             log(
                 events.ADVICE_TAKEN,
-                request_id=order.job,
-                step=order.step,
-                asked=len(order.workers),
+                request_id=request.job,
+                step=request.step,
+                asked=len(request.workers),
                 granted=len(advice.granted),
                 valid_s=advice.valid_s,
             )
--- a/libs/planner/tests/test_leader_election.py
+++ b/libs/planner/tests/test_leader_election.py
@@ -100,13 +100,13 @@
         lease = await LeaderElection(store, "a/1").acquire()
         _, writer = state_writer(store, lease)
         writing = asyncio.create_task(writer.run())
-        rival = asyncio.create_task(LeaderElection(store, "b/1").acquire())
+        candidate = asyncio.create_task(LeaderElection(store, "b/1").acquire())
         await asyncio.sleep(5 * LEASE_EXPIRY_S)
-        assert not rival.done()
+        assert not candidate.done()
         assert store.lease().holder == "a/1"
-        for task in (writing, rival):
+        for task in (writing, candidate):
             task.cancel()
-        await asyncio.gather(writing, rival, return_exceptions=True)
+        await asyncio.gather(writing, candidate, return_exceptions=True)
 
     run_virtual(run_scenario())
 
@@ -264,21 +264,21 @@
         first = await LeaderElection(store, "a/1", "ip:1").acquire()
         _, writer = state_writer(store, first)
         writing = asyncio.create_task(writer.run())
-        rivals = [
+        candidates = [
             asyncio.create_task(
                 LeaderElection(store, f"{name}/1", "ip:2", ended).acquire()
             )
             for name in "bc"
         ]
         await asyncio.sleep(3 * LEASE_EXPIRY_S)
-        assert not any(rival.done() for rival in rivals)
+        assert not any(candidate.done() for candidate in candidates)
         writing.cancel()
         killed.set()
         await asyncio.sleep(0.4)
-        assert sum(rival.done() for rival in rivals) == 1
-        for rival in rivals:
-            rival.cancel()
-        await asyncio.gather(writing, *rivals, return_exceptions=True)
+        assert sum(candidate.done() for candidate in candidates) == 1
+        for candidate in candidates:
+            candidate.cancel()
+        await asyncio.gather(writing, *candidates, return_exceptions=True)
 
     run_virtual(run_scenario())
 
@@ -335,12 +335,12 @@
         async def ended(_address):
             await asyncio.Event().wait()
 
-        rival = asyncio.create_task(
+        candidate = asyncio.create_task(
             LeaderElection(store, "b/1", "ip:2", ended).acquire()
         )
         await asyncio.sleep(LEASE_EXPIRY_S / 4)
-        rival.cancel()
-        await asyncio.wait((rival,))
+        candidate.cancel()
+        await asyncio.wait((candidate,))
         await asyncio.sleep(0)
         assert asyncio.all_tasks() == {asyncio.current_task()}
 
--- a/libs/planner/tests/test_planner.py
+++ b/libs/planner/tests/test_planner.py
@@ -617,11 +617,11 @@
     advised = queue("advised", 1)._replace(advice=AdvicePolicy(0.05, 0.01, 3.0))
     harness.add(request("j", step(2, gpu=8), route=advised))
     assert harness.plan_starts() == []
-    (question,) = harness.planner.advice_requests
-    assert sorted(question.workers) == ["w1", "w2"]
+    (advice_request,) = harness.planner.advice_requests
+    assert sorted(advice_request.workers) == ["w1", "w2"]
     assert harness.plan_starts() == []
     assert len(harness.planner.advice_requests) == 1
-    harness.planner.apply_advice(question, Advice({"w2": "t-2"}, 3.0), now=0.1)
+    harness.planner.apply_advice(advice_request, Advice({"w2": "t-2"}, 3.0), now=0.1)
     (order,) = harness.plan_starts()
     assert (order.worker, order.ticket) == ("w2", "t-2")
     harness.answer_start(order, StartOutcome.NO_TICKET)
--- a/libs/requests/tests/test_service.py
+++ b/libs/requests/tests/test_service.py
@@ -92,8 +92,8 @@
         found = run(world, status(outcome.handle, "else"))
         assert found.is_error() or found.ok.detail == "no longer known"
         assert run(world, status(outcome.handle, "acme")).ok.status == "unknown"
-        run_handle = f"{outcome.handle}~1~n"
-        assert run(world, status(run_handle, "acme")).is_error()
+        run_id = f"{outcome.handle}~1~n"
+        assert run(world, status(run_id, "acme")).is_error()
 
 
 def test_close_finishes_requests_in_flight_and_rejects_new_ones(world):
