--- a/tests/machines/test_point5_planner.py
+++ b/tests/machines/test_point5_planner.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from tests.machines.harness import Counts, Point, run_point
-from tests.machines.world_point5_planner import PlannerWorld, truth
+from tests.machines.world_point5_planner import PlannerWorld, task_profile
 
 COUNTS = Counts()
 # Enough for a lease to expire, a takeover and all jobs in sequence.
@@ -39,7 +39,7 @@
         size = min(tasks, 2) if gpu == 8 else tasks
         each = step(size, gpu, gang=gang, saves_progress=saves)
         job = request(name, each, route=queue(f"q{priority}", priority, 50))
-        work = truth(
+        work = task_profile(
             1.0, each.demand, gang_size=size if gang else 1, save_s=0.5 * saves
         )
         self.world.submit(job, work)
@@ -117,7 +117,7 @@
     """Guards against a world that does not detect two runs of a task at once."""
     world = PlannerWorld()
     each = step(1, 1)
-    world.submit(request("0" * 16, each), truth(1.0, each.demand))
+    world.submit(request("0" * 16, each), task_profile(1.0, each.demand))
     for _ in range(5):
         world.turn()
     (task, worker), *_ = [
--- a/tests/machines/world_point5_planner.py
+++ b/tests/machines/world_point5_planner.py
@@ -9,7 +9,7 @@
 
 TURN_S = 0.1
 LEASE_S = 10.0
-HORIZON_S = WORKER_LEASE_HORIZON_S * (1 + CLOCK_DRIFT) + LEASE_SLACK_S
+MAX_WORKER_LEASE_S = WORKER_LEASE_HORIZON_S * (1 + CLOCK_DRIFT) + LEASE_SLACK_S
 
 
 class LeaseHolder:
@@ -43,13 +43,13 @@
         self.requests = {}
         self.progress = {}
         self.roster = frozenset()
-        self.truths = {}
+        self.profiles = {}
         self.cut = set()
         self.delayed_orders = []
         self.orders_to_delay = 0
         self.finished_tasks = set()
         self.violations = []
-        self.fleet = SimulatedFleet(lambda task: self.truths[task.job])
+        self.fleet = SimulatedFleet(lambda task: self.profiles[task.job])
         for number in range(workers):
             each = entry(f"w{number}", rack=f"r{number // 2}")
             self.fleet.add_worker(each)
@@ -57,11 +57,11 @@
         self.leader = None
         self.take_over()
 
-    def submit(self, request, truth):
+    def submit(self, request, profile):
         if not self.store_up:
             return
         self.revision += 1
-        self.truths[request.job] = truth
+        self.profiles[request.job] = profile
         self.requests[request.job] = (request, self.revision)
         for holder in (self.leader, self.former_leader):
             if holder is not None:
@@ -72,7 +72,9 @@
         self.former_leader = self.leader
         self.revision += 1
         until = (
-            self.former_leader.confirmed_at + HORIZON_S if self.former_leader else 0.0
+            self.former_leader.confirmed_at + MAX_WORKER_LEASE_S
+            if self.former_leader
+            else 0.0
         )
         planner = Planner(inherited_revision=self.revision, inherited_until=until)
         planner.configure(configuration())
@@ -99,7 +101,7 @@
                 self._run_turn(holder)
         self.violations += [f"{task} overlaps" for task in self.fleet.duplicate_runs]
         self.violations += [
-            f"{task} is overbooked" for task in self.fleet.overcommitted
+            f"{task} is overcommitted" for task in self.fleet.overcommitted
         ]
         assert not self.violations, self.violations
 
@@ -244,6 +246,6 @@
         holder.planner.apply_stop_outcome(order, outcome, now=self.now)
 
 
-def truth(work_s, demand, *, gang_size=1, save_s=0.0):
+def task_profile(work_s, demand, *, gang_size=1, save_s=0.0):
     """Return the actual work and demand of a job's tasks."""
     return TaskProfile(work_s, demand, gang_size=gang_size, checkpoint_period_s=save_s)
--- a/tests/machines/world_point6_leaving.py
+++ b/tests/machines/world_point6_leaving.py
@@ -58,7 +58,7 @@
     def time_s(self):
         return self.loop.time()
 
-    # Rules.
+    # Actions of the rules.
 
     def write_drain(self, at, host, leaving):
         if at in self.paused:
