--- a/libs/gangs/src/bilberryhitch_gangs/active_planner.py
+++ b/libs/gangs/src/bilberryhitch_gangs/active_planner.py
@@ -228,9 +228,9 @@
             name for gang in self._context.gangs.values() for name in gang.members
         }
         for name in wanted - set(self._renewers):
-            link = LeaseRenewer(self._context, self._context.hosts[name])
-            self._renewers[name] = link
-            self._renewer_tasks[name] = self._context.spawn(link.run())
+            renewer = LeaseRenewer(self._context, self._context.hosts[name])
+            self._renewers[name] = renewer
+            self._renewer_tasks[name] = self._context.spawn(renewer.run())
         for name in set(self._renewers) - wanted:
             del self._renewers[name]
             self._renewer_tasks.pop(name).cancel()
--- a/libs/gangs/src/bilberryhitch_gangs/commit_resolution.py
+++ b/libs/gangs/src/bilberryhitch_gangs/commit_resolution.py
@@ -44,5 +44,6 @@
             continue
         if abandoned.is_ok():
             raise StoreUnavailable(operation_id)
+        # An applied commit cannot be abandoned; the error carries its revision.
         return Ok(abandoned.error.revision)
     raise StoreAnswerLost(operation_id)
--- a/libs/gangs/src/bilberryhitch_gangs/lease_renewal.py
+++ b/libs/gangs/src/bilberryhitch_gangs/lease_renewal.py
@@ -27,7 +27,7 @@
 
 
 class LeaseRenewer:
-    """Renews all leases on one worker with one message every 3 s.
+    """Renews all leases on one worker with one message, at least every 3 s.
 
     :ivar usable: whether the worker answers and runs no other pool's tasks
     """
--- a/libs/gangs/tests/test_active_planner.py
+++ b/libs/gangs/tests/test_active_planner.py
@@ -4,7 +4,7 @@
 from bilberryhitch_model.errors import QueueFull
 from expression import Error
 
-from tests.machines.first_fit_point2_gangs import FirstFit
+from tests.machines.first_fit_point2_gangs import FirstFitScheduler
 from tests.machines.world_point2_gangs import CENTRE, World
 
 
@@ -101,7 +101,7 @@
 def test_job_refused_by_the_scheduler_is_not_run(world, monkeypatch):
     # Guards against an accepted job that is in no queue.
     full = Error(QueueFull("gpu", 1, 5.0))
-    monkeypatch.setattr(FirstFit, "submit", lambda *_: full)
+    monkeypatch.setattr(FirstFitScheduler, "submit", lambda *_: full)
     world.advance(3)
     job = world.submit(world.call()).ok.job_id
     world.advance(3)
--- a/libs/gangs/tests/test_planner_set.py
+++ b/libs/gangs/tests/test_planner_set.py
@@ -2,7 +2,7 @@
 from bilberryhitch_gangs import PlannerSet
 from bilberryhitch_model import Identity, Pool, Tables
 
-from tests.machines.first_fit_point2_gangs import FirstFit
+from tests.machines.first_fit_point2_gangs import FirstFitScheduler
 from tests.machines.world_point2_gangs import CENTRE, POOL, World
 
 
@@ -38,7 +38,7 @@
         world.processes["a"],
         tables_view=lambda: world.config,
         members=members,
-        make_scheduler=FirstFit,
+        make_scheduler=FirstFitScheduler,
         now=world.loop.time,
         new_id=world.new_id,
     )
