--- a/libs/planner/tests/test_leader_election.py
+++ b/libs/planner/tests/test_leader_election.py
@@ -39,7 +39,7 @@
     def __init__(self):
         self.rows = {}
         self.revision = 0
-        self.lose = 0
+        self.lose_replies = 0
 
     async def read(self, table, first="", last="", *, partition="", timeout_s):
         rows = tuple(row for key, row in sorted(self.rows.items()) if key[0] == table)
@@ -66,8 +66,8 @@
             self.rows[key] = StoreRow(each.table, each.key, each.value, self.revision)
         for each in removals:
             self.rows.pop((each.table, each.key), None)
-        if self.lose:
-            self.lose -= 1
+        if self.lose_replies:
+            self.lose_replies -= 1
             raise StoreUnknown("commit", "lost")
         return self.revision
 
@@ -124,8 +124,8 @@
 
 
 def test_a_host_takes_over_the_lease_of_its_earlier_process_at_once():
-    """Guards against a delay after a power failure of all hosts: no other host could
-    take the lease earlier.
+    """Guards against a delay after a power failure of all hosts: the first host to
+    restart waited for the lease of its own earlier process to expire.
     """
 
     async def run_scenario():
@@ -141,7 +141,7 @@
 def test_an_acquisition_whose_reply_was_lost_is_recognised():
     async def run_scenario():
         store = MemoryStore()
-        store.lose = 1
+        store.lose_replies = 1
         lease = await LeaderElection(store, "a/1").acquire()
         assert store.lease().holder == "a/1"
         assert lease.token == store.rows[LEASE_TABLE, LEASE_KEY].revision
@@ -166,7 +166,7 @@
         )
         planner.dirty.add("j")
         before = store.rows[LEASE_TABLE, LEASE_KEY].revision
-        store.lose = 1
+        store.lose_replies = 1
         await writer.write()
         assert "j" in planner.dirty
         await writer.write()
