--- a/libs/planner/tests/test_leader_election.py
+++ b/libs/planner/tests/test_leader_election.py
@@ -124,8 +124,9 @@
 
 
 def test_a_host_takes_over_the_lease_of_its_earlier_process_at_once():
-    """Guards against a delay after a power failure of all hosts: the first host to
-    restart waited for the lease of its own earlier process to expire.
+    """Guards against a delay after a power failure of all hosts: a restarted host would
+    wait for the lease of its earlier process to expire, which no other host would take
+    sooner.
     """
 
     async def run_scenario():
