--- a/libs/gangs/src/bilberryhitch_gangs/context.py
+++ b/libs/gangs/src/bilberryhitch_gangs/context.py
@@ -91,7 +91,7 @@
     def resume_placement(self, host: str) -> None:
         """Resume placement on a worker that is in neither cooldown nor quarantine."""
         if host not in self._cooldowns and host not in self.health.quarantined:
-            self.scheduler.release(host)
+            self.scheduler.end_quarantine(host)
             self.decision_due.set()
 
     async def _end_cooldown(self, host: str) -> None:
--- a/libs/gangs/src/bilberryhitch_gangs/pool_scheduler.py
+++ b/libs/gangs/src/bilberryhitch_gangs/pool_scheduler.py
@@ -75,7 +75,7 @@
     def quarantine(self, host: str) -> None:
         """Place no jobs on a host that failed tasks or starts, until its release."""
 
-    def release(self, host: str) -> None:
+    def end_quarantine(self, host: str) -> None:
         """End the quarantine of a host."""
 
     def set_pool(self, pool: Pool) -> None:
--- a/libs/scheduling/src/bilberryhitch_scheduling/scheduler.py
+++ b/libs/scheduling/src/bilberryhitch_scheduling/scheduler.py
@@ -186,7 +186,7 @@
         """Give a worker no new work; its running jobs continue."""
         self._set_unusable(host, "quarantined", True)
 
-    def release(self, host: str) -> None:
+    def end_quarantine(self, host: str) -> None:
         """End the quarantine of a worker."""
         self._set_unusable(host, "quarantined", False)
 
--- a/tests/machines/first_fit_point2_gangs.py
+++ b/tests/machines/first_fit_point2_gangs.py
@@ -76,7 +76,7 @@
     def quarantine(self, host):
         self._unavailable.add(f"quarantine {host}")
 
-    def release(self, host):
+    def end_quarantine(self, host):
         self._unavailable.discard(f"quarantine {host}")
 
     def set_pool(self, pool):
--- a/tests/machines/test_point1_reclaim.py
+++ b/tests/machines/test_point1_reclaim.py
@@ -306,7 +306,7 @@
         name = data.draw(st.sampled_from(sorted(self.hosts)))
         if release:
             self.quarantined.discard(name)
-            self.scheduler.release(name)
+            self.scheduler.end_quarantine(name)
         else:
             self.quarantined.add(name)
             self.scheduler.quarantine(name)
