--- a/measure/__init__.py
+++ b/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measurement programs; each appends JSON lines under ``measures/``."""
+"""Benchmark programs; most append JSON lines under ``measures/``."""
--- a/measure/__main__.py
+++ b/measure/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the policy measurement: ``python -m measure``."""
+"""Runs the policy benchmark: ``python -m measure``."""
 
 from .policy import main
 
--- a/measure/control_cost.py
+++ b/measure/control_cost.py
@@ -1,10 +1,10 @@
-"""Measures what control costs an entry host, by number of entry hosts.
+"""Measures the control overhead of an entry host, by number of entry hosts.
 
-Run ``python -m measure.control_cost --seed 1``; prints one JSON line for each
-size and one with least-squares slopes. Each size runs in a process of its own,
-with all its entry hosts in it, on real peer links over loopback and an in-memory
-table service. Figures are per entry host; bytes are those of the messages, without
-the headers of ZeroMQ and TCP.
+``python -m measure.control_cost --seed 1`` prints one JSON line for each size and
+one with the least-squares slopes. Each size runs in its own process, which holds all
+entry hosts; they use real peer links over loopback and an in-memory table service.
+Figures are per entry host; bytes are those of the messages, without the headers of
+ZeroMQ and TCP.
 """
 
 import argparse
@@ -26,7 +26,7 @@
 from measure.records import write_record
 
 SIZES = (2, 4, 8, 16, 40)
-SETTLE_S = 4.0  # past the greeting and the first polls
+SETTLE_S = 4.0  # excludes connection set-up and the first polls
 MEASURE_S = 5.0
 HOSTS_PER_DATA_CENTRE = 8
 WORKERS = 3000
@@ -36,7 +36,7 @@
 
 
 class Sample(NamedTuple):
-    """Counters of the whole process at one time."""
+    """Counters of the whole process at a point in time."""
 
     at_s: float
     cpu_s: float
@@ -46,7 +46,7 @@
 
 
 class EntryHost:
-    """One entry host: a link, a membership and its counted store."""
+    """An entry host with peer link, membership and a store that counts its calls."""
 
     def __init__(
         self,
@@ -78,15 +78,15 @@
         return None
 
 
-def usage_of(accounts: int) -> HeartbeatFields:
-    """Return what a heartbeat carries for a number of client accounts."""
+def make_heartbeat_fields(accounts: int) -> HeartbeatFields:
+    """Return the heartbeat fields for a number of client accounts."""
     return HeartbeatFields(
         1, {f"p/account-{n}": 123.5 for n in range(accounts)}, {"p": 8}
     )
 
 
-def worker_list(rng: random.Random) -> MemoryHostList:
-    """Return the host list of the target size."""
+def make_host_list(rng: random.Random) -> MemoryHostList:
+    """Return a host list with the target number of workers."""
     workers = [
         Host(f"w{n}", "worker", "dc0", f"10.0.0.1:{n}", boot_id=f"{rng.random()}")
         for n in range(WORKERS)
@@ -97,9 +97,9 @@
 async def start_hosts(
     size: int, rng: random.Random, heartbeat_fields: HeartbeatFields
 ) -> list[EntryHost]:
-    """Start ``size`` entry hosts that know each other."""
+    """Start ``size`` entry hosts that are connected to each other."""
     store = MemoryTables()
-    host_list = worker_list(rng)
+    host_list = make_host_list(rng)
     hosts: list[EntryHost] = []
     addresses: list[PeerAddress] = []
     for number in range(size):
@@ -117,8 +117,8 @@
     return hosts
 
 
-def sample(hosts: Sequence[EntryHost]) -> Sample:
-    """Read the counters."""
+def read_counters(hosts: Sequence[EntryHost]) -> Sample:
+    """Return the current counters, summed over the entry hosts."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return Sample(
         asyncio.get_running_loop().time(),
@@ -130,19 +130,21 @@
 
 
 def uss_mb() -> float:
-    """Return the memory that belongs to this process alone, in MB."""
+    """Return the unique set size (USS) of this process in MB."""
     return float(psutil.Process().memory_full_info().uss) / BYTES_PER_MB
 
 
 async def measure_size(size: int, seed: int, accounts: int) -> dict[str, float]:
-    """Run ``size`` entry hosts and return what one of them costs."""
+    """Run ``size`` entry hosts and return the overhead of each."""
     empty_mb = uss_mb()
-    hosts = await start_hosts(size, random.Random(seed), usage_of(accounts))
+    hosts = await start_hosts(
+        size, random.Random(seed), make_heartbeat_fields(accounts)
+    )
     try:
         await asyncio.sleep(SETTLE_S)
-        first = sample(hosts)
+        first = read_counters(hosts)
         await asyncio.sleep(MEASURE_S)
-        last = sample(hosts)
+        last = read_counters(hosts)
         live = min(
             len(host.membership.entry_hosts(host.identity.data_centre))
             for host in hosts
@@ -167,8 +169,8 @@
     }
 
 
-def measure_apart(size: int, seed: int, accounts: int) -> dict[str, float]:
-    """Measure a size in a new process, whose memory no earlier size has used."""
+def measure_in_subprocess(size: int, seed: int, accounts: int) -> dict[str, float]:
+    """Measure a size in a new process, so that earlier sizes do not affect memory."""
     context = multiprocessing.get_context("spawn")
     with context.Pool(1) as pool:
         return pool.apply(run_size, (size, seed, accounts))
@@ -199,16 +201,19 @@
 
 
 def main() -> None:
-    """Measure every size and print the lines."""
+    """Measure each size and record the results and the fitted slopes."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seed", type=int, default=1, help="seed of the host list")
     parser.add_argument(
-        "--accounts", type=int, default=ACCOUNTS, help="client accounts with usage"
+        "--accounts",
+        type=int,
+        default=ACCOUNTS,
+        help="number of client accounts with usage",
     )
     options = parser.parse_args()
     lines = []
     for size in SIZES:
-        lines.append(measure_apart(size, options.seed, options.accounts))
+        lines.append(measure_in_subprocess(size, options.seed, options.accounts))
         write_record("control_cost", options.seed, lines[-1])
     figures = ("cpu_s_per_s", "uss_mb", "bytes_sent_per_s", "table_reads_per_s")
     fits = {figure: fit(lines, figure) for figure in figures}
--- a/measure/daemon_cost.py
+++ b/measure/daemon_cost.py
@@ -1,10 +1,10 @@
-"""CPU, memory and traffic of one entry host process, by number of workers.
+"""Measures CPU, memory and traffic of an entry host process, by number of workers.
 
 ``python -m measure.daemon_cost --seed 1`` starts a real ``serve`` process for each
-size. The platform and the workers are stand-ins in this process. Every worker
-runs a member of a gang that does not end, so what is measured is control alone:
-lease renewals, the planner lease, polls and heartbeats. Bytes are those of the
-loopback interface and include TCP/IP headers; run nothing else beside it.
+size. The platform and the workers are stand-ins in this process. Each worker runs a
+member of a gang that does not end, so that only control overhead is measured: lease
+renewals, the planner lease, polls and heartbeats. Bytes are those of the loopback
+interface and include TCP/IP headers, so no other program should use it meanwhile.
 """
 
 import argparse
@@ -40,7 +40,7 @@
 
 
 class Reading(NamedTuple):
-    """Counters at one moment."""
+    """Counters at a point in time."""
 
     at: float
     cpu_s: float
@@ -49,18 +49,20 @@
     writes: int
 
 
-class Site:
-    """The stand-ins and one entry host process."""
+class Testbed:
+    """An entry host process with stand-ins for the platform and the workers."""
 
     def __init__(self, folder: Path, workers: int) -> None:
         self._folder = folder
         self.platform = PlatformStandin()
-        self.workers = [WorkerStandin(_row(number)) for number in range(workers)]
+        self.workers = [
+            WorkerStandin(_make_worker(number)) for number in range(workers)
+        ]
         self.process: asyncio.subprocess.Process | None = None
         self.api = ""
 
     async def start(self) -> None:
-        """Start everything and wait until the entry host listens."""
+        """Start the stand-ins and the entry host and wait until it listens."""
         address = await self.platform.start()
         platform = f"http://{address.ip}:{address.port}"
         for worker in self.workers:
@@ -83,7 +85,7 @@
         self.api = f"http://{line.decode().split()[-1]}"
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Stop the entry host and the stand-ins."""
         if self.process is not None:
             self.process.kill()
             await self.process.wait()
@@ -91,11 +93,11 @@
         await self.platform.close()
 
     def running(self) -> int:
-        """Return the workers on which a task runs."""
+        """Return the number of workers that run a task."""
         return sum(1 for worker in self.workers if worker.model.usage()["accelerators"])
 
     def read(self) -> Reading:
-        """Return the counters now."""
+        """Return the current counters."""
         assert self.process is not None
         times = psutil.Process(self.process.pid).cpu_times()
         loopback = psutil.net_io_counters(pernic=True)["lo"]
@@ -108,44 +110,44 @@
         )
 
     def memory_mb(self) -> tuple[float, float]:
-        """Return unique and resident memory of the entry host, in MB."""
+        """Return the unique and the resident set size of the entry host in MB."""
         assert self.process is not None
         info = psutil.Process(self.process.pid).memory_full_info()
         return info.uss / 1e6, info.rss / 1e6
 
 
 async def measure_size(workers: int) -> dict[str, float]:
-    """Return the figures for one number of workers."""
+    """Measure an entry host with a number of workers."""
     with TemporaryDirectory() as folder:
-        site = Site(Path(folder), workers)
+        testbed = Testbed(Path(folder), workers)
         try:
-            await site.start()
-            await _fill(site)
+            await testbed.start()
+            await _start_load(testbed)
             await asyncio.sleep(SETTLE_S)
-            before = site.read()
+            before = testbed.read()
             await asyncio.sleep(MEASURE_S)
-            after = site.read()
-            return _figures(workers, before, after, site.memory_mb())
+            after = testbed.read()
+            return _figures(workers, before, after, testbed.memory_mb())
         finally:
-            await site.close()
+            await testbed.close()
 
 
-async def _fill(site: Site) -> None:
-    """Put the tables and keep every worker busy."""
+async def _start_load(testbed: Testbed) -> None:
+    """Configure pool and route, then submit jobs until each worker runs a task."""
     async with aiohttp.ClientSession() as session:
-        pools = f"{site.api}/v1/admin/pools?base_revision=0"
-        await _send(session, "PUT", pools, [_pool(site)], OPERATOR)
-        routes = f"{site.api}/v1/admin/routes?base_revision=1"
+        pools = f"{testbed.api}/v1/admin/pools?base_revision=0"
+        await _send(session, "PUT", pools, [_pool(testbed)], OPERATOR)
+        routes = f"{testbed.api}/v1/admin/routes?base_revision=1"
         await _send(session, "PUT", routes, [_route()], OPERATOR)
         call = {
             "route": "render",
             "shape": {"tasks": GANG_WORKERS, "accelerators": ACCELERATORS},
             "run": json.dumps({"seconds": 1e6}),
         }
-        for _ in range(len(site.workers) // GANG_WORKERS):
-            await _send(session, "POST", f"{site.api}/v1/jobs", call, HEADERS)
+        for _ in range(len(testbed.workers) // GANG_WORKERS):
+            await _send(session, "POST", f"{testbed.api}/v1/jobs", call, HEADERS)
     async with asyncio.timeout(START_LIMIT_S):
-        while site.running() < len(site.workers):  # noqa: ASYNC110
+        while testbed.running() < len(testbed.workers):  # noqa: ASYNC110
             await asyncio.sleep(0.2)
 
 
@@ -156,7 +158,7 @@
     body: object,
     headers: dict[str, str],
 ) -> None:
-    """Send a call until it is accepted; a fresh entry host knows no workers yet."""
+    """Retry a call until it succeeds, as a new entry host knows no workers yet."""
     async with asyncio.timeout(START_LIMIT_S):
         while True:
             async with session.request(
@@ -185,10 +187,10 @@
 
 
 def slopes(rows: list[dict[str, float]]) -> dict[str, dict[str, float]]:
-    """Return the least-squares line of each figure over the number of workers.
+    """Fit each figure against the number of workers by least squares.
 
-    :returns: by figure its value at no workers, its slope for one more worker
-        and the largest residual
+    :returns: for each figure the intercept, the slope per worker and the largest
+        residual
     """
     sizes = [row["workers"] for row in rows]
     found = {}
@@ -209,7 +211,7 @@
     return found
 
 
-def _row(number: int) -> Host:
+def _make_worker(number: int) -> Host:
     return Host(
         name=f"worker-{number}",
         kind="worker",
@@ -224,8 +226,8 @@
     )
 
 
-def _pool(site: Site) -> Pool:
-    names = tuple(worker.model.host.name for worker in site.workers)
+def _pool(testbed: Testbed) -> Pool:
+    names = tuple(worker.model.host.name for worker in testbed.workers)
     return Pool("gangs", "job", names)
 
 
@@ -248,7 +250,7 @@
 
 
 def main() -> None:
-    """Measure every size; print and record one line each and the slopes."""
+    """Measure each size and record the results and the fitted slopes."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     arguments = parser.parse_args()
--- a/measure/fifo_queue.py
+++ b/measure/fifo_queue.py
@@ -1,4 +1,4 @@
-"""A plain queue to compare the fair queue with."""
+"""A FIFO queue, the baseline for the fair queue."""
 
 from collections.abc import Callable, Hashable, Iterator
 from typing import Any
@@ -12,9 +12,9 @@
 
 
 class FifoQueue:
-    """First in, first out, with the interface of ``FairQueue`` that is used.
+    """FIFO queue with the methods of ``FairQueue`` that the request queue calls.
 
-    An entry that cannot run now holds up all behind it.
+    An entry that cannot run blocks all entries behind it.
     """
 
     def __init__(self, limit: int, **shares: Callable[[str], Any]) -> None:
@@ -28,17 +28,17 @@
     def push(
         self, item: Any, *owner: str, signature: Hashable, urgent: bool
     ) -> tuple[FifoEntry, None]:
-        """Queue an item; nothing is dropped."""
+        """Append an item; no entry is dropped to make room for it."""
         entry = FifoEntry(item)
         self._entries[entry] = None
         return entry, None
 
     def select(self) -> FifoEntry | None:
-        """Return the oldest entry, unless it cannot run now."""
+        """Return the oldest entry, or None while the queue is blocked."""
         return None if self._blocked else next(iter(self._entries), None)
 
     def take(self, entry: FifoEntry, now: float) -> Any:
-        """Remove an entry because it runs."""
+        """Remove an entry to run it and return its item."""
         self.remove(entry)
         return entry.item
 
@@ -47,11 +47,11 @@
         self._entries.pop(entry, None)
 
     def park(self, entry: FifoEntry) -> None:
-        """Hold the queue up until :meth:`unpark`."""
+        """Block the queue until :meth:`unpark`."""
         self._blocked = True
 
     def unpark(self) -> None:
-        """Try the oldest entry again."""
+        """Unblock the queue."""
         self._blocked = False
 
     def entries(self) -> Iterator[FifoEntry]:
@@ -59,7 +59,7 @@
         return iter(self._entries)
 
     def charge(self, *cost: object) -> None:
-        """Do nothing: cost plays no part."""
+        """Do nothing: the order does not depend on cost."""
 
     def refresh(self, client_account: str) -> None:
-        """Do nothing: accounts play no part."""
+        """Do nothing: the order does not depend on the client account."""
--- a/measure/import_cost.py
+++ b/measure/import_cost.py
@@ -1,7 +1,7 @@
-"""Memory of a process that has imported the named libraries and nothing else.
+"""Measures the memory of a process that only imports the given libraries.
 
 ``python -m measure.import_cost --seed 1`` starts one interpreter for each step and
-records its unique memory (USS).
+records its unique set size (USS).
 """
 
 import argparse
@@ -23,14 +23,14 @@
 
 
 def main() -> None:
-    """Record the memory after each step, every step on top of those before."""
+    """Record the memory after each step; a step includes the imports before it."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     seed = parser.parse_args().seed
-    done: list[str] = []
+    imported: list[str] = []
     for step in STEPS:
-        done += [step] if step else []
-        lines = [f"import {modules}" for modules in done]
+        imported += [step] if step else []
+        lines = [f"import {modules}" for modules in imported]
         code = "\n".join([*lines, "print(flush=True)", "input()"])
         process = subprocess.Popen(
             [sys.executable, "-c", code], stdin=subprocess.PIPE, stdout=subprocess.PIPE
--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -1,8 +1,8 @@
-"""Plays days of jobs against the real planner and a model of workers.
+"""Emulates days of jobs with the real planner and simulated workers.
 
-No network, no processes, no failures of hosts: a day takes seconds, so that rules of
-ordering and placement can be compared over many seeds before they are measured on
-the users' bench. Run ``python -m measure.job_emulator --help``.
+There is no network, no other process and no host failure, so a day takes seconds.
+Ordering and placement rules can therefore be compared over many seeds before they are
+measured on the users' benchmark. See ``python -m measure.job_emulator --help``.
 """
 
 import argparse
@@ -31,31 +31,41 @@
 from loguru import logger
 
 TICK_S = 0.02
-LOOK_S = 0.6
+REPORT_INTERVAL_S = 0.6
 LEASE_S = 10.0
 UNIX_S = 1_000_000.0
-# After the last arrival; later answers earn nothing.
-TAIL_S = 25.0
+# Emulated time after the last arrival; jobs that end later earn nothing.
+POST_ARRIVAL_S = 25.0
 LATE_FACTOR = 3.0
-# A job earns this much of its worth whatever its work, and at most four times it.
-FIXED_WORTH = 0.3
-MOST_WORTH = 4.0
-WIDE_SHARE = 0.25
+# A job's worth is its kind's worth times a factor that grows with its work: the
+# minimum is the part that does not depend on the work.
+MIN_WORTH_FACTOR = 0.3
+MAX_WORTH_FACTOR = 4.0
+WIDE_STEP_SHARE = 0.25
 
 
-class Kind(NamedTuple):
-    """A kind of request, as the users' sheets describe it."""
+class JobKind(NamedTuple):
+    """A kind of job, with the parameters of the users' workload sheets.
+
+    :ivar per_s: arrivals per second
+    :ivar steps: mean number of steps, 1 to 2
+    :ivar width: mean number of tasks per step, at most ``max_width``
+    :ivar estimate_error: estimates are wrong by a factor of up to 1 plus this
+    :ivar gang: probability that the tasks of each step form a gang
+    :ivar rack_bound: probability that a gang must be placed in one rack
+    :ivar saves: probability that tasks save their progress
+    """
 
     name: str
     per_s: float
     steps: float
     width: float
-    most: int
+    max_width: int
     demand: Resources
     gpus: tuple[int, ...]
     work_s: float
     work_spread: float
-    estimate_off: float
+    estimate_error: float
     gang: float
     rack_bound: float
     saves: float
@@ -65,29 +75,29 @@
 
 
 class Deployment(NamedTuple):
-    """Workers and kinds of requests."""
+    """Workers and job kinds of an emulated data centre."""
 
     workers: int
     rack: int
     capacity: Resources
     save_s: float
     accounts: int
-    kinds: tuple[Kind, ...]
+    kinds: tuple[JobKind, ...]
 
 
 class Job(NamedTuple):
-    """An arrival and what it really is."""
+    """A job arrival with the actual profiles of its tasks by step."""
 
     at: float
-    kind: Kind
+    kind: JobKind
     request: JobRequest
-    truths: tuple[tuple[TaskProfile, ...], ...]
+    profiles: tuple[tuple[TaskProfile, ...], ...]
     objective_s: float
     worth: float
 
 
 class Result(NamedTuple):
-    """What a day earned."""
+    """Worth earned and resources wasted in an emulated day."""
 
     worth: float
     worst_window: float
@@ -98,10 +108,10 @@
     violations: int
 
 
-def queue(
+def make_queue(
     name: str, priority: int, attempts: int, stretch: float, target: float
 ) -> Queue:
-    """Return a route of the emulated operator."""
+    """Return a queue as the emulated operator configures it."""
     return Queue(
         name,
         "h",
@@ -117,8 +127,8 @@
     )
 
 
-def deployment(name: str, load: float) -> Deployment:
-    """Return one of the users' deployments at a share of its load."""
+def make_deployment(name: str, load: float) -> Deployment:
+    """Return one of the users' deployments, its arrival rates scaled by ``load``."""
     grown = name.endswith("grown")
     agency = name.startswith("anjo")
     cores = 64 if agency else 32
@@ -150,23 +160,25 @@
         2.0 if agency else 0.5,
         10 if grown else 4,
         (
-            Kind("long", rates[0] * load, 1, widths[0], 30, demand(13000, 26000), gpus,
-                 long_work, 0.3, 0.9, 1.0, 0.6, 0.45, 3.0, long_worth,
-                 queue("long", 1, 3, 3.0, 1.0)),
-            Kind("quick", rates[1] * load, 1, widths[1], 21, demand(3700, 5500), gpus,
-                 2.5, 0.5, 0.5, 1.0, 0.8, 0.0, 4.0, 0.8,
-                 queue("quick", 0, 2, 1.5, 0.25)),
-            Kind("batch", rates[2] * load, 1.3, widths[2], 94, demand(2800, 7400), (1,),
-                 batch_work, 0.3, 0.5, 0.0, 0.0, 0.45, 1.0, batch_late,
-                 queue("batch", 2, 2, 3.0, 3.0)),
+            JobKind("long", rates[0] * load, 1, widths[0], 30, demand(13000, 26000),
+                 gpus, long_work, 0.3, 0.9, 1.0, 0.6, 0.45, 3.0, long_worth,
+                 make_queue("long", 1, 3, 3.0, 1.0)),
+            JobKind("quick", rates[1] * load, 1, widths[1], 21, demand(3700, 5500),
+                 gpus, 2.5, 0.5, 0.5, 1.0, 0.8, 0.0, 4.0, 0.8,
+                 make_queue("quick", 0, 2, 1.5, 0.25)),
+            JobKind("batch", rates[2] * load, 1.3, widths[2], 94, demand(2800, 7400),
+                 (1,), batch_work, 0.3, 0.5, 0.0, 0.0, 0.45, 1.0, batch_late,
+                 make_queue("batch", 2, 2, 3.0, 3.0)),
         ),
     )  # fmt: skip
 
 
-def arrivals(site: Deployment, seconds: float, rng: random.Random) -> Iterator[Job]:
-    """Yield jobs in order of time, with a burst of each kind in turn."""
-    drawn: list[tuple[float, Kind]] = []
-    for number, kind in enumerate(site.kinds):
+def generate_arrivals(
+    deployment: Deployment, seconds: float, rng: random.Random
+) -> Iterator[Job]:
+    """Yield jobs by arrival time; each kind has a burst, one after the other."""
+    drawn: list[tuple[float, JobKind]] = []
+    for number, kind in enumerate(deployment.kinds):
         at = 0.0
         burst = (2.0 + 6.0 * number, 8.0 + 6.0 * number)
         while at < seconds:
@@ -175,89 +187,100 @@
             drawn.append((at, kind))
     for number, (at, kind) in enumerate(sorted(drawn, key=lambda pair: pair[0])):
         if at < seconds:
-            yield _job(f"{number:016x}", at, kind, site, rng)
+            yield _job(f"{number:016x}", at, kind, deployment, rng)
 
 
-def _job(name: str, at: float, kind: Kind, site: Deployment, rng: random.Random) -> Job:
+def _job(
+    name: str, at: float, kind: JobKind, deployment: Deployment, rng: random.Random
+) -> Job:
     gpu = rng.choice(kind.gpus)
     gang = rng.random() < kind.gang
-    bound = gang and rng.random() < kind.rack_bound
+    same_rack = gang and rng.random() < kind.rack_bound
     saves = rng.random() < kind.saves
-    steps, truths, chain = [], [], 0.0
+    steps, profiles, critical_path_s = [], [], 0.0
     count = 1 if rng.random() > kind.steps - 1 else 2
     core_s = 0.0
-    room = site.workers * site.capacity.gpu
+    pool_gpus = deployment.workers * deployment.capacity.gpu
     for index in range(count):
-        width = max(1, min(kind.most, round(rng.expovariate(1 / kind.width)) or 1))
+        width = max(1, min(kind.max_width, round(rng.expovariate(1 / kind.width)) or 1))
         mean = min(
             kind.work_s * 1.6,
             rng.lognormvariate(math.log(kind.work_s), kind.work_spread),
         )
         demand = kind.demand._replace(gpu=gpu)
-        works = [mean * rng.uniform(0.85, 1.15) for _ in range(width)]
-        off = 1 + kind.estimate_off
+        task_work_s = [mean * rng.uniform(0.85, 1.15) for _ in range(width)]
+        error_factor = 1 + kind.estimate_error
         steps.append(
             Step(
-                width, demand, mean * rng.uniform(1 / off, off),
+                width, demand, mean * rng.uniform(1 / error_factor, error_factor),
                 depends_on=(index - 1,) if index else (),
-                gang=gang, same_rack=bound, saves_progress=saves,
+                gang=gang, same_rack=same_rack, saves_progress=saves,
             )
         )  # fmt: skip
-        truth = TaskProfile(
-            max(works),
+        profile = TaskProfile(
+            max(task_work_s),
             demand,
             gang_size=width if gang else 1,
-            checkpoint_period_s=site.save_s if saves else 0.0,
-            same_rack=bound,
+            checkpoint_period_s=deployment.save_s if saves else 0.0,
+            same_rack=same_rack,
         )
-        truths.append(
-            tuple(truth if gang else truth._replace(work_s=work) for work in works)
+        profiles.append(
+            tuple(
+                profile if gang else profile._replace(work_s=work)
+                for work in task_work_s
+            )
         )
-        waves = max(1.0, width * gpu / (room * WIDE_SHARE))
-        chain += max(works) * waves
-        core_s += sum(works) * (demand.cpu / 1000 + 8 * gpu)
+        waves = max(1.0, width * gpu / (pool_gpus * WIDE_STEP_SHARE))
+        critical_path_s += max(task_work_s) * waves
+        core_s += sum(task_work_s) * (demand.cpu / 1000 + 8 * gpu)
     mean_core_s = (
         kind.work_s
         * kind.width
         * (kind.demand.cpu / 1000 + 8 * statistics.mean(kind.gpus))
     )
-    share = FIXED_WORTH + (1 - FIXED_WORTH) * core_s / (mean_core_s * kind.steps)
-    account = f"account-{min(site.accounts - 1, int(rng.expovariate(0.8)))}"
+    share = MIN_WORTH_FACTOR + (1 - MIN_WORTH_FACTOR) * core_s / (
+        mean_core_s * kind.steps
+    )
+    account = f"account-{min(deployment.accounts - 1, int(rng.expovariate(0.8)))}"
     request = JobRequest(name, kind.queue, account, "s", tuple(steps), UNIX_S + at)
     return Job(
-        at, kind, request, tuple(truths),
-        kind.queue.stretch * chain + kind.queue.target_s,
-        kind.worth * min(MOST_WORTH, share),
+        at, kind, request, tuple(profiles),
+        kind.queue.stretch * critical_path_s + kind.queue.target_s,
+        kind.worth * min(MAX_WORTH_FACTOR, share),
     )  # fmt: skip
 
 
 class Day:
-    """One played day."""
+    """An emulated day."""
 
-    def __init__(self, site: Deployment, seconds: float, seed: int) -> None:
+    def __init__(self, deployment: Deployment, seconds: float, seed: int) -> None:
         rng = random.Random(seed)
-        self.jobs = {job.request.job: job for job in arrivals(site, seconds, rng)}
-        self.fleet = SimulatedFleet(self._truth)
+        self.jobs = {
+            job.request.job: job for job in generate_arrivals(deployment, seconds, rng)
+        }
+        self.fleet = SimulatedFleet(self._profile)
         self.planner = Planner(inherited_revision=0, inherited_until=0.0)
-        guaranteed = int(0.62 * site.workers * site.capacity.gpu / site.accounts)
+        guaranteed = int(
+            0.62 * deployment.workers * deployment.capacity.gpu / deployment.accounts
+        )
         accounts = {
             name: Account(name, frozenset(), guaranteed)
-            for name in (f"account-{number}" for number in range(site.accounts))
+            for name in (f"account-{number}" for number in range(deployment.accounts))
         }
-        queues = tuple(kind.queue for kind in site.kinds)
+        queues = tuple(kind.queue for kind in deployment.kinds)
         self.planner.configure(Configuration(1, queues, {}, accounts, {}, Limits()))
         self.ended: dict[str, tuple[JobState, float]] = {}
         self._seconds = seconds
-        self._looked: dict[str, float] = {}
+        self._reported_at: dict[str, float] = {}
         self._acknowledged: dict[str, int] = {}
-        for number in range(site.workers):
-            rack = f"r{number // site.rack}"
+        for number in range(deployment.workers):
+            rack = f"r{number // deployment.rack}"
             entry = WorkerEntry(
                 f"w{number}",
                 "pool",
                 "",
                 "dc",
-                site.capacity,
+                deployment.capacity,
                 frozenset({"a", rack}),
                 rack,
             )
@@ -265,34 +288,37 @@
             self.planner.add_worker(entry, now=0.0)
         self.planner.stored_roster = frozenset(self.planner.workers)
 
-    def play(self) -> Result:
-        """Play to the end and return what was earned."""
+    def run(self) -> Result:
+        """Emulate the day and return its result."""
         pending = sorted(self.jobs.values(), key=lambda job: job.at)
         now, position = 0.0, 0
-        while now < self._seconds + TAIL_S:
+        while now < self._seconds + POST_ARRIVAL_S:
             self.fleet.advance(now)
             while position < len(pending) and pending[position].at <= now:
                 self._submit(pending[position], now)
                 position += 1
-            self._look(now)
+            self._exchange_heartbeats(now)
             self._plan(now)
             now += TICK_S
         return self._result()
 
-    def _truth(self, task: TaskName) -> TaskProfile:
-        return self.jobs[task.job].truths[task.step][task.ordinal]
+    def _profile(self, task: TaskName) -> TaskProfile:
+        return self.jobs[task.job].profiles[task.step][task.ordinal]
 
     def _submit(self, job: Job, now: float) -> None:
         self.planner.confirm_lease(1)
         progress = JobProgress(JobState.PENDING, job.request.account, {})
         self.planner.add_job(job.request, progress, 1, now=now, unix_s=UNIX_S + now)
 
-    def _look(self, now: float) -> None:
+    def _exchange_heartbeats(self, now: float) -> None:
         for name, model in self.fleet.workers.items():
-            due = now - self._looked.get(name, -LOOK_S) >= LOOK_S
+            due = (
+                now - self._reported_at.get(name, -REPORT_INTERVAL_S)
+                >= REPORT_INTERVAL_S
+            )
             if not due and not model.ends:
                 continue
-            self._looked[name] = now
+            self._reported_at[name] = now
             report = model.hold(
                 token=1,
                 acknowledged=self._acknowledged.get(name, 0),
@@ -335,26 +361,31 @@
         self.planner.dirty = set()
 
     def _result(self) -> Result:
-        owed = earned = in_time = late = 0.0
+        offered_worth = earned = in_time = late = 0.0
         windows: dict[int, list[float]] = {}
         kinds: dict[str, list[float]] = {}
         for name, job in self.jobs.items():
-            got = self._credit(name, job)
-            owed += job.worth
-            earned += got
-            in_time += got == job.worth
-            late += 0 < got < job.worth
+            credit = self._credit(name, job)
+            offered_worth += job.worth
+            earned += credit
+            in_time += credit == job.worth
+            late += 0 < credit < job.worth
             for total in (
                 windows.setdefault(int(job.at // 2), [0.0, 0.0]),
                 kinds.setdefault(job.kind.name, [0.0, 0.0]),
             ):
-                total[0] += got
+                total[0] += credit
                 total[1] += job.worth
-        worst = sorted(got / all_ for got, all_ in windows.values() if all_)[:2]
+        worst = sorted(
+            credit / offered for credit, offered in windows.values() if offered
+        )[:2]
         return Result(
-            earned / owed,
+            earned / offered_worth,
             statistics.mean(worst),
-            {name: round(got / all_, 3) for name, (got, all_) in kinds.items()},
+            {
+                name: round(credit / offered, 3)
+                for name, (credit, offered) in kinds.items()
+            },
             in_time / len(self.jobs),
             late / len(self.jobs),
             self.fleet.wasted_core_s,
@@ -374,12 +405,15 @@
 
 
 def main() -> None:
-    """Play days of one deployment and print a JSON line for each."""
+    """Emulate days of one deployment and print a JSON line for each."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     sites = ["mlac", "anjo", "mlac-grown", "anjo-grown"]
     parser.add_argument("site", choices=sites)
     parser.add_argument(
-        "--load", type=float, default=1.4, help="times the sheet's rates"
+        "--load",
+        type=float,
+        default=1.4,
+        help="factor on the arrival rates of the workload sheet",
     )
     parser.add_argument("--seconds", type=float, default=34.0)
     parser.add_argument("--seed", type=int, default=1)
@@ -388,13 +422,15 @@
     logger.remove()
     worths = []
     for seed in range(arguments.seed, arguments.seed + arguments.days):
-        began = time.process_time()
-        day = Day(deployment(arguments.site, arguments.load), arguments.seconds, seed)
-        result = day.play()
+        started_s = time.process_time()
+        day = Day(
+            make_deployment(arguments.site, arguments.load), arguments.seconds, seed
+        )
+        result = day.run()
         worths.append(result.worth)
         line = {"site": arguments.site, "load": arguments.load, "seed": seed}
         line |= {"jobs": len(day.jobs), **result._asdict()}
-        line["cpu_s"] = round(time.process_time() - began, 1)
+        line["cpu_s"] = round(time.process_time() - started_s, 1)
         print(
             json.dumps(
                 {k: round(v, 3) if isinstance(v, float) else v for k, v in line.items()}
--- a/measure/loop.py
+++ b/measure/loop.py
@@ -1,7 +1,7 @@
-"""A small discrete-event loop over a scheduler, for the policy measurement.
+"""Discrete-event simulation of a pool under a scheduler, for the policy benchmark.
 
-Run times are scaled (hours become minutes); control times, such as checkpoints, are
-not.
+Run times are scaled down from hours to minutes; control delays, such as checkpoints,
+are not scaled.
 """
 
 import heapq
@@ -11,18 +11,18 @@
 
 from bilberryhitch_model import Host, Placement, QueuedJob, Start
 
-HORIZON_S = 3600.0  # arrivals end here; the loop runs until all work is done
-END_S = 10 * HORIZON_S  # what is not done by then counts as ending then
-DECIDE_S = 0.25  # a planner decides this long after something changed
-START_S = 0.5  # reservation, transaction and start of a gang
-EVICT_S = (0.3, 2.0)  # checkpoint and stop; the deadline is 2 s
-LOST_S = 11.0  # a lease term and a request time-out until a lost gang is reported
-RACK_LOST = (1200.0, 2400.0)  # when a rack is lost and when it is back
-GANG = 16  # accelerators of the adjacent gang by which fragmentation is judged
+ARRIVAL_PERIOD_S = 3600.0  # no arrivals after this; the simulation continues
+END_S = 10 * ARRIVAL_PERIOD_S  # unfinished jobs count as finished at this time
+DECIDE_S = 0.25  # delay from a change to the next decision
+START_S = 0.5  # reserve the gang, commit the transaction and start it
+EVICT_S = (0.3, 2.0)  # range for checkpoint and stop; the deadline is 2 s
+LOST_S = 11.0  # a lost gang is reported after lease term and request time-out
+RACK_LOST = (1200.0, 2400.0)  # start and end of the rack failure, in seconds
+GANG = 16  # accelerators of the adjacent gang that measures fragmentation
 
 
 class Arrival(NamedTuple):
-    """A job that arrives; ``resumes`` if an eviction loses no work."""
+    """A job arrival; ``resumes`` if an eviction loses no work."""
 
     at: float
     job: QueuedJob
@@ -30,10 +30,10 @@
     resumes: bool
 
 
-class Record:
-    """What happened to one job.
+class JobHistory:
+    """State and history of one job.
 
-    :ivar spans: its runs as (start, end, whether the work counts)
+    :ivar spans: start and end of each run
     """
 
     def __init__(self, arrival: Arrival) -> None:
@@ -47,12 +47,12 @@
         self.spans: list[tuple[float, float]] = []
 
 
-class Loop:
-    """Runs one scheduler over arrivals.
+class Simulation:
+    """Simulates a scheduler on a list of arrivals.
 
-    :param faults: lose a rack for a while, and let one worker fail all it starts
-    :ivar free_s: integral of free accelerators while jobs arrive
-    :ivar unusable_s: the part of it that no adjacent gang of 16 could use
+    :param faults: whether a rack fails for a while and one worker fails every start
+    :ivar free_s: free accelerator seconds while jobs arrive
+    :ivar unusable_s: the part of ``free_s`` that no adjacent gang of 16 could use
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self.scheduler = scheduler
         self.hosts = hosts
         self.rng = random.Random(1)
-        self.records = {row.job.job_id: Record(row) for row in rows}
+        self.records = {row.job.job_id: JobHistory(row) for row in rows}
         self.free_s = self.unusable_s = 0.0
         self.reclaims: list[float] = []
         self._events: list[tuple[float, int, Callable[..., None], Any]] = []
@@ -79,32 +79,32 @@
         self._blamed: set[str] = set()
         self._lost: set[str] = set()
         for record in self.records.values():
-            self._at(record.arrival.at, self._arrive, record)
+            self._schedule(record.arrival.at, self._arrive, record)
         if faults:
-            self._at(RACK_LOST[0], self._lose, "rack-1")
-            self._at(RACK_LOST[1], self._restore, "rack-1")
+            self._schedule(RACK_LOST[0], self._lose_rack, "rack-1")
+            self._schedule(RACK_LOST[1], self._restore_rack, "rack-1")
 
-    def run(self, until: float = END_S) -> "Loop":
-        """Process the events up to a time and return the loop."""
+    def run(self, until: float = END_S) -> "Simulation":
+        """Process the events up to a time and return the simulation."""
         while self._events and self._now < until:
             when, _, call, argument = heapq.heappop(self._events)
-            self._weigh(when - self._now)
+            self._accumulate_free(when - self._now)
             self._now = when
             call(argument)
         return self
 
-    def _at(self, when: float, call: Callable[..., None], argument: Any) -> None:
+    def _schedule(self, when: float, call: Callable[..., None], argument: Any) -> None:
         self._count += 1
         heapq.heappush(self._events, (when, self._count, call, argument))
 
-    def _changed(self) -> None:
+    def _request_decision(self) -> None:
         if not self._deciding:
             self._deciding = True
-            self._at(self._now + DECIDE_S, self._decide, None)
+            self._schedule(self._now + DECIDE_S, self._decide, None)
 
-    def _arrive(self, record: Record) -> None:
+    def _arrive(self, record: JobHistory) -> None:
         self.scheduler.submit(record.arrival.job, self._now)
-        self._changed()
+        self._request_decision()
 
     def _decide(self, _: None) -> None:
         self._deciding = False
@@ -115,36 +115,38 @@
                 continue
             self._reclaiming.setdefault(decision.for_job_id, self._now)
             delay = self.rng.uniform(*EVICT_S)
-            self._at(self._now + delay, self._evicted, (record, record.attempt))
+            self._schedule(self._now + delay, self._evicted, (record, record.attempt))
 
-    def _start(self, record: Record, placement: Placement) -> None:
+    def _start(self, record: JobHistory, placement: Placement) -> None:
         job = record.arrival.job
-        since = self._reclaiming.pop(job.job_id, None)
-        if since is not None:
-            self.reclaims.append(self._now - since)
+        reclaim_started_at = self._reclaiming.pop(job.job_id, None)
+        if reclaim_started_at is not None:
+            self.reclaims.append(self._now - reclaim_started_at)
         record.attempt += 1
         record.placement = placement
-        self._use(record, 1)
+        self._adjust_busy(record, 1)
         names = {member.host for member in placement.members}
         if names & self._lost or self._broken in names:
-            self._at(self._now + START_S, self._failed, (record, record.attempt))
+            self._schedule(self._now + START_S, self._failed, (record, record.attempt))
             return
-        begins = self._now + START_S
-        record.started_at = begins
-        record.first_start = record.first_start or begins
+        starts_at = self._now + START_S
+        record.started_at = starts_at
+        record.first_start = record.first_start or starts_at
         self.scheduler.started(job.job_id, self._now)
-        self._at(begins + record.left_s, self._finished, (record, record.attempt))
+        self._schedule(
+            starts_at + record.left_s, self._finished, (record, record.attempt)
+        )
 
-    def _finished(self, run: tuple[Record, int]) -> None:
+    def _finished(self, run: tuple[JobHistory, int]) -> None:
         record, attempt = run
         if record.attempt != attempt:
             return
         record.done = self._now
         self._stop(record)
         self.scheduler.finished(record.arrival.job.job_id, self._now)
-        self._changed()
+        self._request_decision()
 
-    def _evicted(self, run: tuple[Record, int]) -> None:
+    def _evicted(self, run: tuple[JobHistory, int]) -> None:
         record, attempt = run
         if record.attempt != attempt or record.done is not None:
             return
@@ -153,10 +155,10 @@
             record.left_s -= max(0.0, self._now - started)
         self._stop(record)
         self.scheduler.evicted(record.arrival.job.job_id, self._now)
-        self._changed()
+        self._request_decision()
 
-    def _failed(self, run: tuple[Record, int]) -> None:
-        """A start failed; a worker blamed by two jobs is quarantined."""
+    def _failed(self, run: tuple[JobHistory, int]) -> None:
+        """Fail a start; the faulty worker is quarantined when two jobs failed on it."""
         record, attempt = run
         if record.attempt != attempt:
             return
@@ -169,60 +171,60 @@
             self._blamed.add(job_id)
             if len(self._blamed) > 1:
                 self.scheduler.quarantine(host)
-        self._changed()
+        self._request_decision()
 
-    def _lose(self, rack: str) -> None:
+    def _lose_rack(self, rack: str) -> None:
         names = {host.name for host in self.hosts if host.rack == rack}
         self._lost |= names
         for name in sorted(names):
             self.scheduler.host_lost(name)
         for record in self.records.values():
-            hit = names & {member.host for member in record.placement.members}
-            if hit:  # the gang stops at once; the planner hears of it later
+            affected = names & {member.host for member in record.placement.members}
+            if affected:  # it stops at once and is reported LOST_S later
                 run = (record, record.attempt)
-                self._at(self._now + LOST_S, self._gang_lost, run)
-        self._changed()
+                self._schedule(self._now + LOST_S, self._gang_lost, run)
+        self._request_decision()
 
-    def _gang_lost(self, run: tuple[Record, int]) -> None:
+    def _gang_lost(self, run: tuple[JobHistory, int]) -> None:
         record, attempt = run
         if record.attempt == attempt and record.done is None:
             record.started_at = None
             self._stop(record)
             self.scheduler.evicted(record.arrival.job.job_id, self._now)
-            self._changed()
+            self._request_decision()
 
-    def _restore(self, rack: str) -> None:
+    def _restore_rack(self, rack: str) -> None:
         for host in self.hosts:
             if host.rack == rack:
                 self._lost.discard(host.name)
                 self.scheduler.host_back(host)
-        self._changed()
+        self._request_decision()
 
-    def _stop(self, record: Record) -> None:
+    def _stop(self, record: JobHistory) -> None:
         record.attempt += 1
         if record.started_at is not None:
             record.spans.append((record.started_at, self._now))
         record.started_at = None
-        self._use(record, -1)
+        self._adjust_busy(record, -1)
         record.placement = Placement(())
 
-    def _use(self, record: Record, sign: int) -> None:
+    def _adjust_busy(self, record: JobHistory, sign: int) -> None:
         for member in record.placement.members:
             self._busy[member.host] += sign * len(member.accelerators)
 
-    def _weigh(self, seconds: float) -> None:
-        """Add up free accelerators, and those no adjacent 16-gang can use."""
-        if seconds <= 0 or self._now > HORIZON_S:
+    def _accumulate_free(self, seconds: float) -> None:
+        """Accumulate ``free_s`` and ``unusable_s``."""
+        if seconds <= 0 or self._now > ARRIVAL_PERIOD_S:
             return
         free = pairs = 0
-        waiting = ""  # rack of a whole free worker that has no partner yet
+        unpaired_rack = ""  # rack of a free worker that is not yet paired
         for host in self.hosts:
             if host.name in self._lost:
-                waiting = ""
+                unpaired_rack = ""
                 continue
             free += host.accelerators - self._busy[host.name]
-            whole = not self._busy[host.name]
-            pairs += whole and waiting == host.rack
-            waiting = host.rack if whole and waiting != host.rack else ""
+            idle = not self._busy[host.name]
+            pairs += idle and unpaired_rack == host.rack
+            unpaired_rack = host.rack if idle and unpaired_rack != host.rack else ""
         self.free_s += seconds * free
         self.unusable_s += seconds * (free - GANG * pairs)
--- a/measure/planner_cost.py
+++ b/measure/planner_cost.py
@@ -1,12 +1,12 @@
-"""CPU and store calls of a planner, by number of workers.
-
-``python -m measure.planner_cost --seed 1`` runs real planners on a virtual
-clock against worker models in this process, and prints one JSON line for each
-size: of three runs, the lowest CPU figures. CPU seconds exclude the worker
-models and logging; they include the event loop. The store is in memory and
-takes 10 ms for each call; the scheduler is a list of free workers. Jobs arrive
-in one burst, in which transactions share commits; a job that arrives alone
-costs one write for its start and one for its end.
+"""Measures CPU time and store calls of a planner, by number of workers.
+
+``python -m measure.planner_cost --seed 1`` runs real planners on a virtual clock
+against worker models in this process. It prints one JSON line for each size, with the
+lowest CPU figures of three runs. CPU seconds exclude the worker models and logging,
+and include the event loop. The store is in memory with a latency of 10 ms per call;
+the scheduler is a list of free workers. Jobs arrive in one burst, in which
+transactions share commits; a job that arrives alone costs one write for its start and
+one for its end.
 """
 
 import argparse
@@ -58,9 +58,9 @@
 
 
 class Phase(NamedTuple):
-    """What passed between two points of a run.
+    """Counters of a run, or their increase over a phase of it.
 
-    :param cpu_s: CPU seconds of the planner's process without worker models
+    :param cpu_s: CPU seconds of the process without the worker models
     :param at: loop time in seconds
     """
 
@@ -71,8 +71,8 @@
     at: float
 
 
-class Workers:
-    """Worker client that calls models directly and times them."""
+class InProcessWorkers:
+    """Worker client that calls the worker models directly and sums their CPU time."""
 
     def __init__(self, models: dict[str, WorkerModel]) -> None:
         self._models = models
@@ -80,7 +80,7 @@
         self.renewals = 0
 
     async def reserve(self, host: Host, token: int, wanted: Reservation) -> LeaseView:
-        """Hold resources."""
+        """Reserve resources for a task."""
         return await self._lease(
             host, lambda model: model.reserve(token=token, **wanted._asdict())
         )
@@ -88,7 +88,7 @@
     async def start_task(
         self, host: Host, token: int, attempt_id: str, run: str, saved: str
     ) -> LeaseView:
-        """Start the task."""
+        """Start the task of a lease."""
         return await self._lease(
             host, lambda model: model.start(attempt_id, token, run, saved)
         )
@@ -96,7 +96,7 @@
     async def renew(
         self, host: Host, token: int, attempt_ids: Sequence[str], term_s: float
     ) -> WorkerView:
-        """Extend leases."""
+        """Renew leases for another term."""
         self.renewals += 1
         model = self._models[host.name]
         return await self._view(lambda: model.renew(token, attempt_ids, term_s))
@@ -104,7 +104,7 @@
     async def checkpoint(
         self, host: Host, token: int, attempt_id: str, saved: str
     ) -> LeaseView:
-        """Save the task's state."""
+        """Checkpoint the task of a lease."""
         return await self._lease(
             host, lambda model: model.checkpoint(attempt_id, token, saved)
         )
@@ -112,22 +112,22 @@
     async def throttle(
         self, host: Host, token: int, attempt_id: str, speed: float
     ) -> LeaseView:
-        """Slow the task down."""
+        """Set the speed of the task of a lease."""
         return await self._lease(
             host, lambda model: model.throttle(attempt_id, token, speed)
         )
 
     async def stop(self, host: Host, token: int, attempt_id: str) -> LeaseView:
-        """End the lease."""
+        """Stop the task and end its lease."""
         return await self._lease(host, lambda model: model.stop(attempt_id, token))
 
     async def release(self, host: Host, token: int, attempt_id: str) -> None:
-        """Forget the lease."""
+        """Delete an ended lease."""
         await asyncio.sleep(0)
         self._models[host.name].release(attempt_id, token)
 
     async def state(self, host: Host) -> WorkerView:
-        """Return every lease."""
+        """Return all leases of a worker."""
         return await self._view(self._models[host.name].state)
 
     async def _lease(
@@ -148,8 +148,8 @@
         return WorkerView(report.boot_id, report.highest, leases)  # type: ignore[attr-defined]
 
 
-class FreeList:
-    """Scheduler that places each gang on the next free workers."""
+class FreeListScheduler:
+    """Scheduler that places each gang on the first free workers."""
 
     def __init__(self, data_centre: str, pool: Pool, hosts: Sequence[Host]) -> None:
         self._free = deque(host.name for host in hosts)
@@ -161,7 +161,7 @@
         return Ok(None)
 
     def decide(self, now: float) -> list[Start]:
-        """Start what finds free workers."""
+        """Start queued jobs while there are free workers."""
         starts = []
         while self._queue and len(self._free) >= GANG:
             names = [self._free.popleft() for _ in range(GANG)]
@@ -173,7 +173,7 @@
     def adopt(
         self, job: QueuedJob, placement: Placement, borrowed: bool, now: float
     ) -> None:
-        """Take the workers of a running gang."""
+        """Remove the workers of a running gang from the free list."""
         for member in placement.members:
             self._free.remove(member.host)
 
@@ -182,7 +182,7 @@
         return Explanation(job_id, "", "", "")
 
     def cancel(self, job_id: str) -> bool:
-        """Cancel nothing."""
+        """Return False: cancellation is not supported."""
         return False
 
     def started(self, job_id: str, now: float) -> None:
@@ -192,15 +192,15 @@
         """Do nothing."""
 
     def take_dropped(self) -> list[object]:
-        """Drop nothing."""
+        """Return an empty list: no job is dropped."""
         return []
 
     shortfall = take_dropped
     evicted = started
 
     def start_failed(self, job_id: str, host: str, now: float) -> None:
-        """Fail, because no start can fail here."""
-        raise RuntimeError(f"start of {job_id} failed on {host}")
+        """Raise an error, as the worker models fail no start."""
+        raise RuntimeError(f"start of job {job_id} failed on worker {host}")
 
     def host_lost(self, host: object) -> None:
         """Do nothing."""
@@ -208,8 +208,8 @@
     host_back = quarantine = release = set_pool = host_lost
 
 
-class Site:
-    """Two candidates for one pool, of which one plans."""
+class Testbed:
+    """Two planner candidates for one pool, of which one is elected."""
 
     def __init__(self, workers: int, seed: int) -> None:
         self.loop = VirtualTimeLoop()
@@ -220,7 +220,7 @@
             for i in range(workers)
         )
         self.models = {h.name: WorkerModel(h, self.loop.time) for h in self.hosts}
-        self.workers = Workers(self.models)
+        self.workers = InProcessWorkers(self.models)
         self.store = MemoryTables()
         self.tables = FaultyTables(self.store)
         self.tables.slow_s = STORE_S
@@ -237,13 +237,13 @@
             self.workers,
             view=lambda: PoolView(pool, self.hosts, names),
             own_rank=lambda: rank,
-            make_scheduler=FreeList,  # type: ignore[arg-type]
+            make_scheduler=FreeListScheduler,  # type: ignore[arg-type]
             now=self.loop.time,
             new_id=lambda: f"{self._random.getrandbits(64):016x}",
         )
 
     def submit(self, jobs: int) -> None:
-        """Write job rows as the job service does, at no cost to the planner."""
+        """Write job rows as the job service does, without counting the store calls."""
         for _ in range(jobs):
             record = JobRecord(
                 f"{CENTRE}.{POOL}.j{next(self._ids)}",
@@ -264,13 +264,13 @@
             self.loop.run_until_complete(self.store.transact([], [put_job(record)]))
 
     def measure(self, work: Callable[[], None]) -> Phase:
-        """Return what ``work`` took."""
-        before = self._now()
+        """Return the increase of the counters while ``work`` runs."""
+        before = self._counters()
         work()
-        after = self._now()
+        after = self._counters()
         return Phase(*(b - a for a, b in zip(before, after, strict=True)))
 
-    def _now(self) -> Phase:
+    def _counters(self) -> Phase:
         return Phase(
             time.process_time() - self.workers.model_s,
             self.tables.reads,
@@ -280,9 +280,9 @@
         )
 
     def wait_until(self, done: Callable[[], bool], limit_s: float = 60.0) -> None:
-        """Advance until ``done``.
+        """Advance the clock until ``done`` returns true.
 
-        :raises TimeoutError: not done after ``limit_s`` seconds of loop time
+        :raises TimeoutError: if it still returns false after ``limit_s`` of loop time
         """
         until = self.loop.time() + limit_s
         while not done():
@@ -291,14 +291,14 @@
             self.loop.advance(0.05)
 
     def running(self) -> int:
-        """Return how many tasks run now."""
+        """Return the number of running tasks."""
         reports = (model.state() for model in self.models.values())
         return sum(
             lease.state == "running" for report in reports for lease in report.leases
         )
 
     def close(self) -> None:
-        """End the planners."""
+        """Cancel the planners and close the event loop."""
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
         self.loop.run_until_complete(
@@ -308,32 +308,34 @@
 
 
 def measure_size(workers: int, seed: int) -> dict[str, float]:
-    """Run one size; CPU in seconds, store calls of both candidates."""
-    site = Site(workers, seed)
-    first, second = site.planners
-    site.wait_until(lambda: first.planning or second.planning)
+    """Measure one size; store calls are those of both candidates."""
+    testbed = Testbed(workers, seed)
+    first, second = testbed.planners
+    testbed.wait_until(lambda: first.planning or second.planning)
     holder = 0 if first.planning else 1
     jobs = workers // GANG
-    idle = site.measure(lambda: site.loop.advance(STEADY_S))
-    submitted_at = site.loop.time()
-    site.submit(jobs)
-    # Few models are looked at between advances, so that this costs little.
-    probe = site.models[f"w{workers - 1}"]
-    start = site.measure(
-        lambda: site.wait_until(lambda: bool(probe.usage()["accelerators"]))
+    idle = testbed.measure(lambda: testbed.loop.advance(STEADY_S))
+    submitted_at = testbed.loop.time()
+    testbed.submit(jobs)
+    # Polling the last worker only keeps the CPU cost of the wait low.
+    probe = testbed.models[f"w{workers - 1}"]
+    start = testbed.measure(
+        lambda: testbed.wait_until(lambda: bool(probe.usage()["accelerators"]))
     )
-    site.loop.advance(1)
-    if site.running() != jobs * GANG:
-        raise RuntimeError(f"{site.running()} tasks run instead of {jobs * GANG}")
-    steady = site.measure(lambda: site.loop.advance(STEADY_S))
-    site.tasks[holder].cancel()
-    other = site.planners[1 - holder]
-    takeover = site.measure(lambda: site.wait_until(lambda: other.planning))
-    site.loop.advance(STEADY_S)
-    kept = site.running() == jobs * GANG
-    site.loop.advance(submitted_at + RUN_S - site.loop.time())
-    end = site.measure(lambda: site.loop.advance(END_S))
-    site.close()
+    testbed.loop.advance(1)
+    if testbed.running() != jobs * GANG:
+        raise RuntimeError(
+            f"{testbed.running()} tasks are running, expected {jobs * GANG}"
+        )
+    steady = testbed.measure(lambda: testbed.loop.advance(STEADY_S))
+    testbed.tasks[holder].cancel()
+    other = testbed.planners[1 - holder]
+    takeover = testbed.measure(lambda: testbed.wait_until(lambda: other.planning))
+    testbed.loop.advance(STEADY_S)
+    kept = testbed.running() == jobs * GANG
+    testbed.loop.advance(submitted_at + RUN_S - testbed.loop.time())
+    end = testbed.measure(lambda: testbed.loop.advance(END_S))
+    testbed.close()
     return {
         "workers": workers,
         "jobs": jobs,
@@ -353,10 +355,10 @@
     }
 
 
-def lowest(workers: int, seed: int) -> dict[str, float]:
-    """Repeat a size and keep the lowest CPU figures.
+def lowest_of_repeats(workers: int, seed: int) -> dict[str, float]:
+    """Measure a size several times and keep the lowest CPU figures.
 
-    Other processes on the machine only ever add to a figure.
+    Load from other processes can only increase a figure.
     """
     runs = [measure_size(workers, seed) for _ in range(REPEATS)]
     cpu = [name for name in runs[0] if name.startswith("cpu_")]
@@ -373,12 +375,12 @@
 
 
 def main() -> None:
-    """Print one JSON line for each size."""
+    """Measure each size and record the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     seed = parser.parse_args().seed
     logger.remove()
-    lines = [lowest(size, seed) for size in SIZES]
+    lines = [lowest_of_repeats(size, seed) for size in SIZES]
     for name in ("cpu_per_second_s", "cpu_per_takeover_s"):
         slope, residuals = fit([(line["workers"], line[name]) for line in lines])
         for line, residual in zip(lines, residuals, strict=True):
--- a/measure/policy.py
+++ b/measure/policy.py
@@ -1,4 +1,4 @@
-"""Measures the scheduling policy against first fit, at two deployments' sizes."""
+"""Compares the scheduling policy with first fit on two deployments."""
 
 import argparse
 import json
@@ -11,59 +11,71 @@
 from bilberryhitch_scheduling import PoolScheduler
 
 from .baseline import FirstFit, one_queue, queue_per_account
-from .loop import END_S, HORIZON_S, Loop, Record
-from .workloads import MUSCAT, RABAT, Deployment, Flood, arrivals, hosts_of
-
-LARGE = 64  # accelerators from which a gang counts as large
-FLOOD_END_S = 1.5 * HORIZON_S  # a flood's backlog is not worked off to its end
+from .loop import ARRIVAL_PERIOD_S, END_S, JobHistory, Simulation
+from .workloads import (
+    MUSCAT,
+    RABAT,
+    Deployment,
+    Flood,
+    generate_arrivals,
+    make_worker_hosts,
+)
+
+LARGE_GANG = 64  # accelerators; smallest gang that counts as large
+# A run with a flood stops before its backlog is completed.
+FLOOD_END_S = 1.5 * ARRIVAL_PERIOD_S
 NO_FLOOD: Flood = ("", "")
 
-Make = Callable[[Deployment], Any]
+SchedulerBuilder = Callable[[Deployment], Any]
 
 
-def product(deployment: Deployment) -> Any:
-    """Return the scheduler under measurement."""
+def make_pool_scheduler(deployment: Deployment) -> Any:
+    """Return the scheduler under test."""
     rows = tuple(Guarantee(a, "dc", size, n) for a, size, n in deployment.guarantees)
     pool = Pool("gpu", "job", guarantees=rows, max_queued=100_000)
-    return PoolScheduler("dc", pool, hosts_of(deployment))
+    return PoolScheduler("dc", pool, make_worker_hosts(deployment))
 
 
-def first_fit(deployment: Deployment) -> Any:
-    """Return first fit behind one queue."""
-    return FirstFit(hosts_of(deployment), one_queue)
+def make_first_fit(deployment: Deployment) -> Any:
+    """Return first fit with one queue."""
+    return FirstFit(make_worker_hosts(deployment), one_queue)
 
 
-def first_fit_per_account(deployment: Deployment) -> Any:
-    """Return first fit behind one queue for each account."""
-    return FirstFit(hosts_of(deployment), queue_per_account)
+def make_first_fit_per_account(deployment: Deployment) -> Any:
+    """Return first fit with one queue per client account."""
+    return FirstFit(make_worker_hosts(deployment), queue_per_account)
 
 
-class Bench:
-    """Runs schedulers over one deployment's arrivals."""
+class Benchmark:
+    """Runs schedulers on the arrivals of one deployment."""
 
     def __init__(self, deployment: Deployment, seed: int, faults: bool) -> None:
         self.deployment = deployment
         self._seed = seed
         self._faults = faults
 
-    def run(self, make: Make, flood: Flood = NO_FLOOD, only: str = "") -> Loop:
-        """Run a fresh scheduler; ``only`` keeps the arrivals of one account."""
-        rows = arrivals(self.deployment, self._seed, flood)
+    def run(
+        self, make: SchedulerBuilder, flood: Flood = NO_FLOOD, only: str = ""
+    ) -> Simulation:
+        """Simulate a new scheduler, with the arrivals of account ``only`` if given."""
+        rows = generate_arrivals(self.deployment, self._seed, flood)
         rows = [row for row in rows if only in ("", row.job.client_account)]
-        hosts = hosts_of(self.deployment)
+        hosts = make_worker_hosts(self.deployment)
         until = END_S if flood == NO_FLOOD else FLOOD_END_S
-        return Loop(make(self.deployment), hosts, rows, faults=self._faults).run(until)
+        return Simulation(make(self.deployment), hosts, rows, faults=self._faults).run(
+            until
+        )
 
-    def kept(self, loop: Loop, account: str) -> float:
-        """Return an account's completed work inside its guarantee.
+    def guaranteed_work(self, simulation: Simulation, account: str) -> float:
+        """Return a client account's completed work within its guarantee.
 
-        In accelerator seconds until arrivals end; at each moment the accelerators of
-        jobs that are completed later count, up to the guaranteed number.
+        This is the integral, in accelerator seconds until arrivals end, of the
+        accelerators held by jobs that complete, capped at the guaranteed number.
         """
         rows = self.deployment.guarantees
         limit = sum(size * count for name, size, count in rows if name == account)
         steps: list[tuple[float, int]] = []
-        for record in loop.records.values():
+        for record in simulation.records.values():
             job = record.arrival.job
             if job.client_account == account and record.done is not None:
                 size = job.shape.total_accelerators
@@ -72,111 +84,123 @@
         total = last = 0.0
         used = 0
         for at, step in sorted(steps):
-            until = min(at, HORIZON_S)
+            until = min(at, ARRIVAL_PERIOD_S)
             total += (until - last) * min(used, limit)
             last = until
             used += step
         return total
 
-    def flood_kept(self, make: Make, calm: Loop) -> tuple[float, list[Loop]]:
-        """Return the worst account's work kept under floods, and the flooded runs."""
+    def work_kept_under_floods(
+        self, make: SchedulerBuilder, unflooded: Simulation
+    ) -> tuple[float, list[Simulation]]:
+        """Return the smallest ratio of guaranteed work under floods, and the runs.
+
+        The ratio is to the run without a flood; the flooding account is left out.
+        """
         worst = 1.0
-        loops = []
+        simulations = []
         for flood in self.deployment.floods:
-            loop = self.run(make, flood)
-            loops.append(loop)
+            simulation = self.run(make, flood)
+            simulations.append(simulation)
             for account in {row[0] for row in self.deployment.guarantees} - {flood[0]}:
-                before = self.kept(calm, account)
-                worst = min(worst, self.kept(loop, account) / max(before, 1e-9))
-        return worst, loops
+                before = self.guaranteed_work(unflooded, account)
+                worst = min(
+                    worst, self.guaranteed_work(simulation, account) / max(before, 1e-9)
+                )
+        return worst, simulations
 
-    def urgent_start_p99(self, loops: Iterable[Loop]) -> float:
-        """Return how long urgent work waits for its first start under floods.
+    def urgent_start_p99(self, simulations: Iterable[Simulation]) -> float:
+        """Return the p99 wait of urgent jobs for their first start under floods.
 
-        Jobs of the account that floods are left out: its share bounds them.
+        Jobs of the flooding client account are left out, as its share limits them.
         """
         waits = [
-            started(record) - record.arrival.at
-            for flood, loop in zip(self.deployment.floods, loops, strict=True)
-            for record in loop.records.values()
+            first_start_or_end(record) - record.arrival.at
+            for flood, simulation in zip(
+                self.deployment.floods, simulations, strict=True
+            )
+            for record in simulation.records.values()
             if record.arrival.job.urgency == "urgent"
             and record.arrival.job.client_account != flood[0]
         ]
         return quantile(waits, 0.99)
 
 
-def started(record: Record) -> float:
-    """Return when a job first started, or the end of the measurement."""
-    begun = record.first_start
-    return END_S if begun is None else begun
+def first_start_or_end(record: JobHistory) -> float:
+    """Return the time of a job's first start, or the end of the simulation."""
+    first_start = record.first_start
+    return END_S if first_start is None else first_start
 
 
-def completion(loop: Loop, account: str = "") -> list[float]:
+def completion_times(simulation: Simulation, account: str = "") -> list[float]:
     """Return the times from submission to completion."""
     return [
         (END_S if record.done is None else record.done) - record.arrival.at
-        for record in loop.records.values()
+        for record in simulation.records.values()
         if account in ("", record.arrival.job.client_account)
     ]
 
 
-def large_wait(loop: Loop) -> float:
-    """Return the mean wait of gangs of 64 and more accelerators."""
+def mean_large_gang_wait(simulation: Simulation) -> float:
+    """Return the mean wait of gangs of at least 64 accelerators."""
     waits = [
-        started(record) - record.arrival.at
-        for record in loop.records.values()
-        if record.arrival.job.shape.total_accelerators >= LARGE
+        first_start_or_end(record) - record.arrival.at
+        for record in simulation.records.values()
+        if record.arrival.job.shape.total_accelerators >= LARGE_GANG
     ]
     return sum(waits) / len(waits)
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return a quantile, 0 for no values."""
+    """Return a quantile, or 0 if there are no values."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else 0
 
 
-def figures(bench: Bench, make: Make, fifo: Loop) -> dict[str, float]:
-    """Return all figures of one scheduler; ratios are over first fit and one queue."""
-    calm = bench.run(make)
-    small = bench.deployment.small
+def figures(
+    bench: Benchmark, make: SchedulerBuilder, fifo: Simulation
+) -> dict[str, float]:
+    """Return a scheduler's metrics; ratios are to first fit with one queue."""
+    unflooded = bench.run(make)
+    small = bench.deployment.small_account
     alone = bench.run(make, only=small)
-    kept, flooded = bench.flood_kept(make, calm)
-    ours, theirs = completion(calm), completion(fifo)
-    spread = calm.unusable_s / max(calm.free_s, 1e-9)
+    kept, flooded = bench.work_kept_under_floods(make, unflooded)
+    own_times, fifo_times = completion_times(unflooded), completion_times(fifo)
+    spread = unflooded.unusable_s / max(unflooded.free_s, 1e-9)
     fifo_spread = fifo.unusable_s / max(fifo.free_s, 1e-9)
-    beside = quantile(completion(calm, small), 0.95)
+    shared_p95_s = quantile(completion_times(unflooded, small), 0.95)
     found = {
         "flood_kept_ratio": kept,
-        "small_caller_slowdown_ratio": beside
-        / quantile(completion(alone, small), 0.95),
+        "small_caller_slowdown_ratio": shared_p95_s
+        / quantile(completion_times(alone, small), 0.95),
         "fragmentation_ratio": spread / fifo_spread,
-        "large_gang_wait_ratio": large_wait(calm) / large_wait(fifo),
-        "completion_p50_ratio": quantile(ours, 0.5) / quantile(theirs, 0.5),
-        "completion_p99_ratio": quantile(ours, 0.99) / quantile(theirs, 0.99),
+        "large_gang_wait_ratio": mean_large_gang_wait(unflooded)
+        / mean_large_gang_wait(fifo),
+        "completion_p50_ratio": quantile(own_times, 0.5) / quantile(fifo_times, 0.5),
+        "completion_p99_ratio": quantile(own_times, 0.99) / quantile(fifo_times, 0.99),
         "reclaim_p99_s": quantile([t for run in flooded for t in run.reclaims], 0.99),
         "urgent_start_p99_s": bench.urgent_start_p99(flooded),
         "fragmentation": spread,
-        "large_gang_wait_s": large_wait(calm),
-        "completion_p50_s": quantile(ours, 0.5),
-        "completion_p99_s": quantile(ours, 0.99),
+        "large_gang_wait_s": mean_large_gang_wait(unflooded),
+        "completion_p50_s": quantile(own_times, 0.5),
+        "completion_p99_s": quantile(own_times, 0.99),
     }
     return {name: round(value, 4) for name, value in found.items()}
 
 
 def measure(deployment: Deployment, seed: int, faults: bool) -> dict[str, Any]:
-    """Return one line of the result file.
+    """Return one result row.
 
-    ``baseline_`` is first fit behind one queue, ``account_fifo_`` first fit behind
-    one queue for each account.
+    The prefix ``baseline_`` stands for first fit with one queue, ``account_fifo_`` for
+    first fit with one queue per client account.
     """
-    bench = Bench(deployment, seed, faults)
-    fifo = bench.run(first_fit)
+    bench = Benchmark(deployment, seed, faults)
+    fifo = bench.run(make_first_fit)
     row: dict[str, Any] = {"deployment": deployment.name, "faults": faults}
-    row.update(figures(bench, product, fifo))
+    row.update(figures(bench, make_pool_scheduler, fifo))
     for prefix, make in (
-        ("baseline", first_fit),
-        ("account_fifo", first_fit_per_account),
+        ("baseline", make_first_fit),
+        ("account_fifo", make_first_fit_per_account),
     ):
         for name, value in figures(bench, make, fifo).items():
             row[f"{prefix}_{name}"] = value
@@ -184,14 +208,14 @@
 
 
 def commit_id() -> str:
-    """Return the commit that is measured, with a mark if the tree differs from it."""
+    """Return the commit under test, marked as dirty if the working tree differs."""
     command = ["git", "describe", "--always", "--dirty", "--exclude=*"]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     return done.stdout.strip() or "unknown"
 
 
 def main() -> None:
-    """Measure all deployments, without and with faults, and append the results."""
+    """Benchmark each deployment without and with faults and append the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--output", type=Path, default=Path("measures/policy.jsonl"))
--- a/measure/records.py
+++ b/measure/records.py
@@ -1,4 +1,4 @@
-"""Writes a measurement's figures as a JSON line."""
+"""Writes benchmark results as JSON lines."""
 
 import json
 import subprocess
@@ -7,13 +7,13 @@
 from pathlib import Path
 from typing import Any
 
-FOLDER = Path(__file__).resolve().parent.parent / "measures"
+RECORDS_FOLDER = Path(__file__).resolve().parent.parent / "measures"
 
 
 def write_record(name: str, seed: int, figures: Mapping[str, Any]) -> None:
-    """Print one line and append it to ``measures/<name>.jsonl``.
+    """Print a result line and append it to ``measures/<name>.jsonl``.
 
-    The line starts with commit, command and seed, so that it can be repeated.
+    The line starts with commit, command and seed, so that the run can be reproduced.
     """
     line = json.dumps(
         {
@@ -25,15 +25,15 @@
     )
     sys.stdout.write(line + "\n")
     sys.stdout.flush()
-    FOLDER.mkdir(exist_ok=True)
-    with (FOLDER / f"{name}.jsonl").open("a", encoding="utf-8") as stream:
+    RECORDS_FOLDER.mkdir(exist_ok=True)
+    with (RECORDS_FOLDER / f"{name}.jsonl").open("a", encoding="utf-8") as stream:
         stream.write(line + "\n")
 
 
 def _commit() -> str:
-    words = ["git", "-C", str(FOLDER.parent), "rev-parse", "--short", "HEAD"]
-    found = subprocess.run(words, capture_output=True, text=True, check=False)
-    return found.stdout.strip() or "unknown"
+    command = ["git", "-C", str(RECORDS_FOLDER.parent), "rev-parse", "--short", "HEAD"]
+    result = subprocess.run(command, capture_output=True, text=True, check=False)
+    return result.stdout.strip() or "unknown"
 
 
 def _rounded(value: Any) -> Any:
--- a/measure/request_cluster.py
+++ b/measure/request_cluster.py
@@ -1,4 +1,4 @@
-"""Entry hosts in one process on virtual time, with fake executors, to measure."""
+"""Entry hosts in one process on virtual time, with fake executors."""
 
 import asyncio
 import random
@@ -19,9 +19,9 @@
 
 
 class FakeExecutors:
-    """Runs each request for the seconds in its body; counts what exceeds 8 slots.
+    """Executors of 8 slots that run a request for the seconds given in its body.
 
-    :ivar over_commits: requests sent while all slots were in use
+    :ivar over_commits: requests that arrived while all slots were in use
     """
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
     async def call(
         self, host: Host, attempt_id: str, route: str, body: bytes, *limits: object
     ) -> ExecutorAnswer:
-        """Run one request."""
+        """Run a request, or refuse it while all slots are in use."""
         running = self.running.get(host.name, 0)
         if running >= SLOTS:
             self.over_commits += 1
@@ -44,15 +44,15 @@
         return ExecutorAnswer(attempt_id, 200, len(body), body)
 
     async def probe(self, host: Host, timeout_s: float) -> bool:
-        """Return that the executor answers."""
+        """Report the executor as healthy."""
         return True
 
 
 class Cluster:
-    """Entry hosts of one data centre with a perfect link between them.
+    """Entry hosts of one data centre, connected by a link without losses.
 
-    :param owner: which entry host owns an executor
-    :ivar forwards: peer calls made
+    :param owner: chooses the entry host that owns an executor
+    :ivar forwards: number of peer calls
     """
 
     def __init__(
@@ -78,7 +78,7 @@
                 MemoryTables(),
                 config=self,
                 membership=self,
-                peers=_Link(self, name),
+                peers=_DirectLink(self, name),
                 executors=self.executors,
                 now=lambda: 0.0,
                 new_id=lambda: f"n{next(ids)}",
@@ -90,21 +90,21 @@
         self._heartbeats: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start every entry host and the heartbeats between them."""
+        """Start the entry hosts and their heartbeats."""
         for service in self._services.values():
             await service.start()
-        self._heartbeats = asyncio.create_task(self._beat())
+        self._heartbeats = asyncio.create_task(self._exchange_heartbeats())
         await asyncio.sleep(HEARTBEAT_S)
 
     async def close(self) -> None:
-        """Finish what is in flight."""
+        """Close the entry hosts and stop the heartbeats."""
         for service in self._services.values():
             await service.close()
         if self._heartbeats is not None:
             self._heartbeats.cancel()
 
     async def submit(self, number: int, call: RequestCall) -> Outcome:
-        """Submit at the entry host that the load balancer picks for ``number``."""
+        """Submit a call to the entry host chosen round-robin by ``number``."""
         name = self._names[number % len(self._names)]
         return await self._services[name].submit(call)
 
@@ -117,11 +117,11 @@
         return self._executor_hosts
 
     def is_leaving(self, host: str) -> bool:
-        """Return that no host leaves."""
+        """Return False: no host leaves the cluster."""
         return False
 
-    async def carry(self, sender: str, host: str, message: Message) -> Message:
-        """Carry a call to a peer and its answer back."""
+    async def forward(self, sender: str, host: str, message: Message) -> Message:
+        """Deliver a call to a peer after the link delay and return its reply."""
         self.forwards += 1
         await asyncio.sleep(LINK_S)
         reply = await self._services[host].handle(sender, message)
@@ -129,7 +129,7 @@
         assert reply is not None
         return reply
 
-    async def _beat(self) -> None:
+    async def _exchange_heartbeats(self) -> None:
         while True:
             for sender, service in self._services.items():
                 for receiver in self._services.values():
@@ -138,7 +138,7 @@
             await asyncio.sleep(HEARTBEAT_S)
 
 
-class _Link:
+class _DirectLink:
     """The peer link of one entry host."""
 
     def __init__(self, cluster: Cluster, name: str) -> None:
@@ -146,5 +146,5 @@
         self._name = name
 
     async def call(self, host: str, message: Message, timeout_s: float) -> Message:
-        """Send a message and return its answer."""
-        return await self._cluster.carry(self._name, host, message)
+        """Send a message to a peer and return its reply."""
+        return await self._cluster.forward(self._name, host, message)
--- a/measure/request_cost.py
+++ b/measure/request_cost.py
@@ -1,9 +1,9 @@
 """Measures the request path: CPU per request, over-commits and fairness.
 
-``python -m measure.request_cost --seed 1`` prints one JSON line per size, the
-least-squares slope over sizes with its residual, and one line per fairness case.
-Waiting takes virtual time; CPU seconds are those of this process, with the fake
-executors and the fake link included.
+``python -m measure.request_cost --seed 1`` prints one JSON line per number of
+entry hosts, the least-squares slope over these with its residual, and one line per
+fairness case. Waiting takes virtual time; CPU seconds are those of this process and
+include the fake executors and the fake link.
 """
 
 import argparse
@@ -29,25 +29,28 @@
 REQUESTS = 4000
 REPEATS = 2
 RUN_S = 0.05
-# 192 slots of 0.05 s serve 3,840 requests a second.
+# Below the 3,840 requests a second that 192 slots serve at 0.05 s each.
 OFFERED_PER_S = 3000.0
 SMALL_REQUESTS = 200
 SMALL_EVERY_S = 0.05
 LARGE_REQUESTS = 3000
-# Twice what the 16 slots of two executors serve.
+# Twice the capacity of two executors, 16 slots at 0.05 s each.
 LARGE_PER_S = 640.0
 TIMEOUT_S = 60.0
 
 
 def main() -> None:
-    """Print the measurements."""
+    """Run the benchmark and record its results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     seed = parser.parse_args().seed
     costs = []
     for size in SIZES:
         row = min(
-            (run_virtual(_load(size, seed + again)) for again in range(REPEATS)),
+            (
+                run_virtual(_measure_load(size, seed + repeat))
+                for repeat in range(REPEATS)
+            ),
             key=lambda found: found["cpu_s_per_request"],
         )
         costs.append(row["cpu_s_per_request"])
@@ -58,7 +61,7 @@
         write_record("request_cost", seed, row)
 
 
-def _tables(executors: int) -> Tables:
+def _make_tables(executors: int) -> Tables:
     names = tuple(f"x{number}" for number in range(executors))
     routes = {
         account: Route(account, "request", "k", account, "p", timeout_s=TIMEOUT_S)
@@ -68,19 +71,19 @@
     return Tables(1, routes, {"p": pool})
 
 
-def _call(account: str, caller: str) -> RequestCall:
+def _make_call(account: str, caller: str) -> RequestCall:
     return RequestCall(account, caller, account, str(RUN_S).encode())
 
 
-async def _load(size: int, seed: int) -> dict[str, Any]:
-    """Offer a steady load to ``size`` entry hosts."""
-    cluster = Cluster(size, _tables(EXECUTORS), seed=seed)
+async def _measure_load(size: int, seed: int) -> dict[str, Any]:
+    """Offer Poisson arrivals to ``size`` entry hosts and return the results."""
+    cluster = Cluster(size, _make_tables(EXECUTORS), seed=seed)
     rng = random.Random(seed)
     await cluster.start()
     before_s = time.process_time()
     tasks = []
     for number in range(REQUESTS):
-        call = _call("large", "c")
+        call = _make_call("large", "c")
         tasks.append(asyncio.create_task(cluster.submit(number, call)))
         await asyncio.sleep(rng.expovariate(OFFERED_PER_S))
     outcomes = await asyncio.gather(*tasks)
@@ -111,14 +114,14 @@
 
 
 def _fairness(account: str, seed: int, *, spread: bool) -> dict[str, Any]:
-    """Compare a small caller's p95 beside a large one with its p95 alone.
+    """Compare a small caller's p95 latency next to a large caller with its p95 alone.
 
-    :param account: the small caller's account; the other's is ``large``
-    :param spread: whether each entry host owns one executor, or one host both
+    :param account: client account of the small caller; the large caller's is ``large``
+    :param spread: whether each entry host owns one executor, instead of one host both
     """
 
     def run(large: int) -> float:
-        return run_virtual(_small(account, large, seed, spread=spread))
+        return run_virtual(_small_caller_p95(account, large, seed, spread=spread))
 
     alone_s, fair_s = run(0), run(LARGE_REQUESTS)
     with mock.patch.object(request_queue, "FairQueue", FifoQueue):
@@ -134,20 +137,22 @@
     }
 
 
-async def _small(account: str, large: int, seed: int, *, spread: bool) -> float:
-    """Return the small caller's p95 completion time in virtual seconds."""
+async def _small_caller_p95(
+    account: str, large: int, seed: int, *, spread: bool
+) -> float:
+    """Return the small caller's p95 latency in virtual seconds."""
 
     def owner(key: str, hosts: Sequence[str]) -> str:
         return hosts[int(key[1:]) % len(hosts) if spread else 0]
 
-    cluster = Cluster(2, _tables(2), seed=seed, owner=owner)
+    cluster = Cluster(2, _make_tables(2), seed=seed, owner=owner)
     await cluster.start()
-    flood = asyncio.create_task(_flood(cluster, large, seed))
+    flood = asyncio.create_task(_offer_large_load(cluster, large, seed))
     loop = asyncio.get_running_loop()
 
     async def timed(number: int) -> float:
         started_s = loop.time()
-        outcome = await cluster.submit(number, _call(account, "small"))
+        outcome = await cluster.submit(number, _make_call(account, "small"))
         assert outcome.status == "completed", outcome
         return loop.time() - started_s
 
@@ -161,11 +166,11 @@
     return statistics.quantiles(times, n=20)[-1]
 
 
-async def _flood(cluster: Cluster, large: int, seed: int) -> None:
+async def _offer_large_load(cluster: Cluster, large: int, seed: int) -> None:
     rng = random.Random(seed)
     tasks = []
     for number in range(large):
-        call = _call("large", "large")
+        call = _make_call("large", "large")
         tasks.append(asyncio.create_task(cluster.submit(number, call)))
         await asyncio.sleep(rng.expovariate(LARGE_PER_S))
     await asyncio.gather(*tasks)
--- a/measure/scale.py
+++ b/measure/scale.py
@@ -1,7 +1,7 @@
-"""Times the scheduler's own code at the target size and at parts of it.
+"""Benchmarks the scheduler's operations at the target size and fractions of it.
 
-Section 1.4 of the design page gives the target: 3,000 workers with 4,100 accelerators,
-64,000 running tasks and 330 client accounts.
+The target is that of section 1.4 of the design page: 3,000 workers with
+4,100 accelerators, 64,000 running tasks and 330 client accounts.
 """
 
 import argparse
@@ -32,13 +32,13 @@
 LARGE_WORKERS = 157  # of 8 accelerators; the others have 1, together 4,099
 TASKS = 64_000
 ACCOUNTS = 330
-TASKS_PER_CORE_JOB = 64  # most of the running tasks need no accelerator
-SMALL_SHARE = 0.9  # of the jobs with accelerators
-ROUNDS = 50  # operations of each sort that are timed
+TASKS_PER_CORE_JOB = 64  # CPU-only jobs hold most of the running tasks
+SMALL_SHARE = 0.9  # fraction of small gangs among jobs with accelerators
+ROUNDS = 50  # timed repetitions of each operation
 
 
-def hosts_of(part: float) -> list[Host]:
-    """Return racks of eight workers; whole racks have 8 accelerators a worker."""
+def make_worker_hosts(part: float) -> list[Host]:
+    """Return workers in racks of eight, the first ones with 8 accelerators each."""
     large = int(LARGE_WORKERS * part)
     return [
         Host(
@@ -56,8 +56,8 @@
     ]
 
 
-def pool_of(part: float) -> Pool:
-    """Return a pool in which every account has a guarantee, a few a large one."""
+def make_pool(part: float) -> Pool:
+    """Return a pool in which each client account has a guarantee, a few a large one."""
     accounts = int(ACCOUNTS * part)
     sizes = [32 if n % 40 == 0 else 8 if n % 10 == 0 else 1 for n in range(accounts)]
     rows = [
@@ -67,8 +67,8 @@
     return Pool("gpu", "job", guarantees=tuple(rows), max_queued=100_000)
 
 
-class Bench:
-    """One scheduler with its running jobs and the times of its operations."""
+class Benchmark:
+    """A scheduler with its running jobs and the latencies of its operations."""
 
     def __init__(self, part: float, seed: int) -> None:
         self.part = part
@@ -76,27 +76,27 @@
         self.running: dict[str, tuple[QueuedJob, Placement, bool]] = {}
         self._rng = random.Random(seed)
         self._jobs: dict[str, QueuedJob] = {}
-        self.scheduler = PoolScheduler("dc", pool_of(part), hosts_of(part))
+        self.scheduler = PoolScheduler("dc", make_pool(part), make_worker_hosts(part))
 
-    def timed(self, name: str, call: Callable[..., Any], *args: Any) -> Any:
-        """Call and note the time, in seconds."""
+    def time_call(self, name: str, call: Callable[..., Any], *args: Any) -> Any:
+        """Call a function, record its duration in seconds and return its result."""
         begin = perf_counter()
         result = call(*args)
         self.times.setdefault(name, []).append(perf_counter() - begin)
         return result
 
     def submit(self, shape: Shape) -> None:
-        """Submit a job of a random account."""
+        """Submit a job of a random client account."""
         number = len(self._jobs)
         account = f"a{self._rng.randrange(int(ACCOUNTS * self.part))}"
         kind = f"k{self._rng.randrange(3)}"
         job = QueuedJob(f"j{number}", account, kind, f"c{number % 4}", shape)
         self._jobs[job.job_id] = job
-        self.timed("submit", self.scheduler.submit, job, 0.0)
+        self.time_call("submit", self.scheduler.submit, job, 0.0)
 
     def decide(self) -> None:
-        """Decide, and confirm what was decided until nothing more happens."""
-        while decisions := self.timed("decide", self.scheduler.decide, 1.0):
+        """Decide and confirm the decisions until there are no more."""
+        while decisions := self.time_call("decide", self.scheduler.decide, 1.0):
             for row in decisions:
                 if isinstance(row, Evict):
                     self.running.pop(row.job_id, None)
@@ -107,13 +107,13 @@
                     self.scheduler.started(row.job_id, 1.0)
 
     def random_gang(self) -> Shape:
-        """Return a gang; most are small."""
+        """Return a random gang shape; most have at most 4 accelerators."""
         if self._rng.random() < SMALL_SHARE:
             return Shape(1, self._rng.choice((1, 1, 1, 2, 4)), 1, 1)
         return Shape(self._rng.choice((8, 16, 32, 128)), 1, 1, 1)
 
     def fill(self) -> None:
-        """Run the tasks of the target size, with some work left in the queue."""
+        """Start the running tasks of the target size and leave a backlog queued."""
         for _ in range(int(TASKS * self.part / TASKS_PER_CORE_JOB)):
             self.submit(Shape(TASKS_PER_CORE_JOB, 0, 2, 1))
         for _ in range(int(4000 * self.part)):
@@ -122,20 +122,20 @@
         self.times.clear()
 
     def churn(self) -> None:
-        """Time single operations on the full fleet."""
+        """Time single operations while the pool is full."""
         for _ in range(ROUNDS):
             job_id = self._rng.choice(list(self.running))
             del self.running[job_id]
-            self.timed("finished", self.scheduler.finished, job_id, 2.0)
+            self.time_call("finished", self.scheduler.finished, job_id, 2.0)
             self.submit(self.random_gang())
             self.decide()
-        for host in self._rng.sample(hosts_of(self.part), 20):
-            self.timed("host_lost", self.scheduler.host_lost, host.name)
+        for host in self._rng.sample(make_worker_hosts(self.part), 20):
+            self.time_call("host_lost", self.scheduler.host_lost, host.name)
             self.scheduler.host_back(host)
 
     def take_over(self) -> None:
-        """Time the adoption of all running jobs by a fresh scheduler."""
-        fresh = PoolScheduler("dc", pool_of(self.part), hosts_of(self.part))
+        """Time the adoption of all running jobs by a new scheduler."""
+        fresh = PoolScheduler("dc", make_pool(self.part), make_worker_hosts(self.part))
         begin = perf_counter()
         for job, placement, borrowed in self.running.values():
             fresh.adopt(job, placement, borrowed, 3.0)
@@ -144,8 +144,8 @@
 
 
 def measure(part: float, seed: int) -> dict[str, Any]:
-    """Return one line: median and p99 in milliseconds, memory in MB."""
-    bench = Bench(part, seed)
+    """Return a result row: median and p99 in milliseconds, memory in MB."""
+    bench = Benchmark(part, seed)
     bench.fill()
     bench.churn()
     bench.take_over()
@@ -159,7 +159,7 @@
         row[f"{name}_p50_ms"] = round(1000 * times[len(times) // 2], 4)
         row[f"{name}_p99_ms"] = round(1000 * times[int(0.99 * (len(times) - 1))], 4)
     tracemalloc.start()
-    held = Bench(part, seed)
+    held = Benchmark(part, seed)
     held.fill()
     row["memory_mb"] = round(tracemalloc.get_traced_memory()[0] / 1e6, 2)
     tracemalloc.stop()
@@ -178,7 +178,7 @@
 
 
 def main() -> None:
-    """Measure all sizes and append the results and the fit."""
+    """Measure all sizes, then append the results and the fitted slopes."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--output", type=Path, default=Path("measures/scale.jsonl"))
--- a/measure/workloads.py
+++ b/measure/workloads.py
@@ -5,41 +5,48 @@
 
 from bilberryhitch_model import Host, QueuedJob, Shape, Urgency
 
-from .loop import GANG, HORIZON_S, Arrival
+from .loop import ARRIVAL_PERIOD_S, GANG, Arrival
 
-FLOOD = 10  # factor by which a kind's arrivals grow in a flood
+FLOOD_FACTOR = 10  # factor on the arrival rate of a job kind during a flood
 
 
-class Kind(NamedTuple):
-    """One kind of work of one account; gaps and run times are means in seconds."""
+class JobKind(NamedTuple):
+    """A job kind of one client account; arrivals are a Poisson process."""
 
     account: str
     kind: str
-    gap_s: float
-    run_s: float
+    mean_gap_s: float
+    mean_run_s: float
     shapes: tuple[Shape, ...]
     urgency: Urgency = "normal"
     may_borrow: bool = True
     resumes: bool = True
 
 
-Flood = tuple[str, str]  # account and kind that arrive tenfold
+Flood = tuple[str, str]  # client account and job kind whose arrival rate is multiplied
 
 
 class Deployment(NamedTuple):
-    """A data centre's pool; ``small`` are accounts with small callers."""
+    """Workers, guarantees and job kinds of one pool in a data centre.
+
+    :ivar guarantees: client account, gang size in accelerators and number of gangs
+    :ivar small_account: client account whose callers offer little load
+    """
 
     name: str
-    per_rack: int
+    workers_per_rack: int
     cores: int
     guarantees: tuple[tuple[str, int, int], ...]
-    kinds: tuple[Kind, ...]
-    small: str
+    kinds: tuple[JobKind, ...]
+    small_account: str
     floods: tuple[Flood, ...]
 
 
-def gangs(*sizes: int) -> tuple[Shape, ...]:
-    """Return gangs of one-accelerator tasks, or of whole workers from 16 on."""
+def gang_shapes(*sizes: int) -> tuple[Shape, ...]:
+    """Return gang shapes for numbers of accelerators.
+
+    Gangs of 16 and more accelerators take whole workers of 8.
+    """
     return tuple(
         Shape(size // 8, 8, 8, 16) if size >= GANG else Shape(1, size, size, size)
         for size in sizes
@@ -58,13 +65,13 @@
         ("bench", 2, 4),
     ),
     (
-        Kind("mint", "hallmark", 18.0, 240.0, gangs(1, 2, 4), "low"),
-        Kind("mint", "strength", 200.0, 300.0, gangs(16), may_borrow=False),
-        Kind("forge", "render", 110.0, 420.0, gangs(4, 8, 16)),
-        Kind("forge", "large", 500.0, 150.0, gangs(64, 128)),
-        Kind("atelier", "render", 100.0, 420.0, gangs(2, 8)),
-        Kind("bench", "fit", 12.0, 15.0, gangs(1), "urgent"),
-        Kind("bench", "check", 30.0, 60.0, gangs(1, 2)),
+        JobKind("mint", "hallmark", 18.0, 240.0, gang_shapes(1, 2, 4), "low"),
+        JobKind("mint", "strength", 200.0, 300.0, gang_shapes(16), may_borrow=False),
+        JobKind("forge", "render", 110.0, 420.0, gang_shapes(4, 8, 16)),
+        JobKind("forge", "large", 500.0, 150.0, gang_shapes(64, 128)),
+        JobKind("atelier", "render", 100.0, 420.0, gang_shapes(2, 8)),
+        JobKind("bench", "fit", 12.0, 15.0, gang_shapes(1), "urgent"),
+        JobKind("bench", "check", 30.0, 60.0, gang_shapes(1, 2)),
     ),
     "bench",
     (("mint", "hallmark"), ("atelier", "render"), ("bench", "fit")),
@@ -75,28 +82,30 @@
     64,
     (("league", 16, 1), ("archive", 8, 1), ("ranking", 32, 1), ("club", 2, 4)),
     (
-        Kind("league", "motion", 10.0, 60.0, gangs(1, 2, 4), "urgent"),
-        Kind("league", "season", 240.0, 600.0, gangs(8, 16)),
-        Kind("archive", "ruling", 14.0, 180.0, gangs(1, 2, 4), "low"),
-        Kind("ranking", "ranking", 240.0, 420.0, gangs(8, 16, 32), may_borrow=False),
-        Kind("ranking", "large", 500.0, 150.0, gangs(64, 128)),
-        Kind("club", "look", 15.0, 30.0, gangs(1, 2)),
+        JobKind("league", "motion", 10.0, 60.0, gang_shapes(1, 2, 4), "urgent"),
+        JobKind("league", "season", 240.0, 600.0, gang_shapes(8, 16)),
+        JobKind("archive", "ruling", 14.0, 180.0, gang_shapes(1, 2, 4), "low"),
+        JobKind(
+            "ranking", "ranking", 240.0, 420.0, gang_shapes(8, 16, 32), may_borrow=False
+        ),
+        JobKind("ranking", "large", 500.0, 150.0, gang_shapes(64, 128)),
+        JobKind("club", "look", 15.0, 30.0, gang_shapes(1, 2)),
     ),
     "club",
     (("archive", "ruling"), ("league", "motion")),
 )
 
 
-def hosts_of(deployment: Deployment) -> list[Host]:
-    """Return 24 workers of 8 accelerators."""
+def make_worker_hosts(deployment: Deployment) -> list[Host]:
+    """Return the deployment's 24 workers, each with 8 accelerators."""
     return [
         Host(
             f"w{number:02}",
             "worker",
             "dc",
             "",
-            rack=f"rack-{number // deployment.per_rack}",
-            position=number % deployment.per_rack,
+            rack=f"rack-{number // deployment.workers_per_rack}",
+            position=number % deployment.workers_per_rack,
             accelerators=8,
             cores=deployment.cores,
             memory_gb=2 * deployment.cores,
@@ -105,25 +114,25 @@
     ]
 
 
-def arrivals(deployment: Deployment, seed: int, flood: Flood) -> list[Arrival]:
-    """Return the same arrivals for a seed; a flood only adds to its kind.
+def generate_arrivals(deployment: Deployment, seed: int, flood: Flood) -> list[Arrival]:
+    """Return the arrivals for a seed; a flood only adds arrivals of its job kind.
 
-    Declared run times are wrong by up to ten times either way.
+    Declared run times differ from the actual ones by a factor of up to ten either way.
     """
     found = []
     for kind in deployment.kinds:
-        copies = FLOOD if flood == (kind.account, kind.kind) else 1
+        copies = FLOOD_FACTOR if flood == (kind.account, kind.kind) else 1
         for copy in range(copies):
             rng = random.Random(f"{seed}/{kind.account}/{kind.kind}/{copy}")
-            at = rng.expovariate(1 / kind.gap_s)
-            while at < HORIZON_S:
+            at = rng.expovariate(1 / kind.mean_gap_s)
+            while at < ARRIVAL_PERIOD_S:
                 found.append(_arrival(kind, copy, at, rng))
-                at += rng.expovariate(1 / kind.gap_s)
+                at += rng.expovariate(1 / kind.mean_gap_s)
     return sorted(found, key=lambda row: row.at)
 
 
-def _arrival(kind: Kind, copy: int, at: float, rng: random.Random) -> Arrival:
-    run_s = rng.lognormvariate(-0.32, 0.8) * kind.run_s  # mean factor 1
+def _arrival(kind: JobKind, copy: int, at: float, rng: random.Random) -> Arrival:
+    run_s = rng.lognormvariate(-0.32, 0.8) * kind.mean_run_s  # the factor's mean is 1
     job = QueuedJob(
         f"{kind.account}-{kind.kind}-{copy}-{at:.6f}",
         kind.account,
--- a/scripts/runtime_requirements.py
+++ b/scripts/runtime_requirements.py
@@ -1,4 +1,4 @@
-"""Writes the pinned requirements of an entry host: a part of requirements.txt."""
+"""Writes the pinned requirements of an entry host, a subset of requirements.txt."""
 
 import re
 from importlib.metadata import requires
@@ -20,7 +20,7 @@
 
 
 def closure(roots: tuple[str, ...], pinned: set[str]) -> set[str]:
-    """Return the roots and all that they need, as far as it is pinned."""
+    """Return the roots and their transitive dependencies that are pinned."""
     found: set[str] = set()
     pending = list(roots)
     while pending:
@@ -35,16 +35,16 @@
 
 
 def main() -> None:
-    """Copy the blocks of the packages that an entry host imports."""
+    """Copy the requirement blocks, hashes included, that an entry host needs."""
     text = SOURCE.read_text(encoding="utf-8")
-    bodies = {
+    blocks = {
         match.group(1).lower(): match.group(0)
         for match in re.finditer(r"(?m)^([A-Za-z0-9_.\-]+)==(?:.*\\\n)*.*\n", text)
     }
-    wanted = closure(ROOTS, set(bodies))
-    head = "# Written by scripts/runtime_requirements.py; do not edit.\n"
+    required = closure(ROOTS, set(blocks))
+    header = "# Written by scripts/runtime_requirements.py; do not edit.\n"
     TARGET.write_text(
-        head + "".join(bodies[name] for name in sorted(wanted)), encoding="utf-8"
+        header + "".join(blocks[name] for name in sorted(required)), encoding="utf-8"
     )
 
 
