--- a/measure/loop.py
+++ b/measure/loop.py
@@ -38,7 +38,7 @@
 
     def __init__(self, arrival: Arrival) -> None:
         self.arrival = arrival
-        self.left_s = arrival.run_s
+        self.remaining_s = arrival.run_s
         self.attempt = 0
         self.started_at: float | None = None
         self.placement = Placement(())
@@ -68,16 +68,16 @@
         self.rng = random.Random(1)
         self.records = {row.job.job_id: JobHistory(row) for row in rows}
         self.free_s = self.unusable_s = 0.0
-        self.reclaims: list[float] = []
+        self.reclaim_times_s: list[float] = []
         self._events: list[tuple[float, int, Callable[..., None], Any]] = []
         self._count = 0
         self._now = 0.0
         self._busy = {host.name: 0 for host in hosts}
         self._reclaiming: dict[str, float] = {}
         self._deciding = False
-        self._broken = hosts[3].name if faults else ""
-        self._blamed: set[str] = set()
-        self._lost: set[str] = set()
+        self._faulty_host = hosts[3].name if faults else ""
+        self._failed_job_ids: set[str] = set()
+        self._lost_hosts: set[str] = set()
         for record in self.records.values():
             self._schedule(record.arrival.at, self._arrive, record)
         if faults:
@@ -121,12 +121,12 @@
         job = record.arrival.job
         reclaim_started_at = self._reclaiming.pop(job.job_id, None)
         if reclaim_started_at is not None:
-            self.reclaims.append(self._now - reclaim_started_at)
+            self.reclaim_times_s.append(self._now - reclaim_started_at)
         record.attempt += 1
         record.placement = placement
         self._adjust_busy(record, 1)
         names = {member.host for member in placement.members}
-        if names & self._lost or self._broken in names:
+        if names & self._lost_hosts or self._faulty_host in names:
             self._schedule(self._now + START_S, self._failed, (record, record.attempt))
             return
         starts_at = self._now + START_S
@@ -134,7 +134,7 @@
         record.first_start = record.first_start or starts_at
         self.scheduler.started(job.job_id, self._now)
         self._schedule(
-            starts_at + record.left_s, self._finished, (record, record.attempt)
+            starts_at + record.remaining_s, self._finished, (record, record.attempt)
         )
 
     def _finished(self, run: tuple[JobHistory, int]) -> None:
@@ -152,7 +152,7 @@
             return
         started = record.started_at
         if record.arrival.resumes and started is not None:
-            record.left_s -= max(0.0, self._now - started)
+            record.remaining_s -= max(0.0, self._now - started)
         self._stop(record)
         self.scheduler.evicted(record.arrival.job.job_id, self._now)
         self._request_decision()
@@ -164,18 +164,18 @@
             return
         job_id = record.arrival.job.job_id
         names = [member.host for member in record.placement.members]
-        host = self._broken if self._broken in names else names[0]
+        host = self._faulty_host if self._faulty_host in names else names[0]
         self._stop(record)
         self.scheduler.start_failed(job_id, host, self._now)
-        if host == self._broken:
-            self._blamed.add(job_id)
-            if len(self._blamed) > 1:
+        if host == self._faulty_host:
+            self._failed_job_ids.add(job_id)
+            if len(self._failed_job_ids) > 1:
                 self.scheduler.quarantine(host)
         self._request_decision()
 
     def _lose_rack(self, rack: str) -> None:
         names = {host.name for host in self.hosts if host.rack == rack}
-        self._lost |= names
+        self._lost_hosts |= names
         for name in sorted(names):
             self.scheduler.host_lost(name)
         for record in self.records.values():
@@ -196,7 +196,7 @@
     def _restore_rack(self, rack: str) -> None:
         for host in self.hosts:
             if host.rack == rack:
-                self._lost.discard(host.name)
+                self._lost_hosts.discard(host.name)
                 self.scheduler.host_back(host)
         self._request_decision()
 
@@ -219,7 +219,7 @@
         free = pairs = 0
         unpaired_rack = ""  # rack of a free worker that is not yet paired
         for host in self.hosts:
-            if host.name in self._lost:
+            if host.name in self._lost_hosts:
                 unpaired_rack = ""
                 continue
             free += host.accelerators - self._busy[host.name]
--- a/measure/planner_cost.py
+++ b/measure/planner_cost.py
@@ -76,7 +76,7 @@
 
     def __init__(self, models: dict[str, WorkerModel]) -> None:
         self._models = models
-        self.model_s = 0.0
+        self.model_cpu_s = 0.0
         self.renewals = 0
 
     async def reserve(self, host: Host, token: int, wanted: Reservation) -> LeaseView:
@@ -136,14 +136,14 @@
         await asyncio.sleep(0)
         before = time.process_time()
         report = act(self._models[host.name])
-        self.model_s += time.process_time() - before
+        self.model_cpu_s += time.process_time() - before
         return LeaseView(*report)
 
     async def _view(self, act: Callable[[], object]) -> WorkerView:
         await asyncio.sleep(0)
         before = time.process_time()
         report = act()
-        self.model_s += time.process_time() - before
+        self.model_cpu_s += time.process_time() - before
         leases = tuple(LeaseView(*lease) for lease in report.leases)  # type: ignore[attr-defined]
         return WorkerView(report.boot_id, report.highest, leases)  # type: ignore[attr-defined]
 
@@ -272,7 +272,7 @@
 
     def _counters(self) -> Phase:
         return Phase(
-            time.process_time() - self.workers.model_s,
+            time.process_time() - self.workers.model_cpu_s,
             self.tables.reads,
             self.tables.writes,
             self.workers.renewals,
--- a/measure/policy.py
+++ b/measure/policy.py
@@ -178,7 +178,9 @@
         / mean_large_gang_wait(fifo),
         "completion_p50_ratio": quantile(own_times, 0.5) / quantile(fifo_times, 0.5),
         "completion_p99_ratio": quantile(own_times, 0.99) / quantile(fifo_times, 0.99),
-        "reclaim_p99_s": quantile([t for run in flooded for t in run.reclaims], 0.99),
+        "reclaim_p99_s": quantile(
+            [t for run in flooded for t in run.reclaim_times_s], 0.99
+        ),
         "urgent_start_p99_s": bench.urgent_start_p99(flooded),
         "fragmentation": spread,
         "large_gang_wait_s": mean_large_gang_wait(unflooded),
