--- a/libs/app/src/bilberryhitch/demo_report.py
+++ b/libs/app/src/bilberryhitch/demo_report.py
@@ -57,7 +57,10 @@
 
 
 def _percentile(values: Sequence[float], percent: int) -> float:
-    """Return the nearest-rank percentile of sorted values; NaN if there are none."""
+    """Return a percentile of sorted values; NaN if there are none.
+
+    It is the value at index ``len(values) * percent // 100``, without interpolation.
+    """
     if not values:
         return float("nan")
     return values[min(len(values) - 1, len(values) * percent // 100)]
--- a/libs/app/src/bilberryhitch/trace_command.py
+++ b/libs/app/src/bilberryhitch/trace_command.py
@@ -9,7 +9,8 @@
 
 from .exit_codes import ExitCode
 
-# Events that affect all requests; printed if they occurred during the request.
+# Events that are not tied to one request; printed if they occurred during the request.
+# A lost or regained worker connection is printed only for a worker of the request.
 GLOBAL_EVENTS = frozenset(
     {
         "process_started",
@@ -74,8 +75,8 @@
 def select_lines(lines: Iterable[LogLine], request: str) -> list[LogLine]:
     """Return the log lines that concern a request, in order of time.
 
-    These are the lines with its id and, from the first to the last of them, lines
-    about its workers and events that affect all requests.
+    These are the lines that name the request and, from the first to the last of them,
+    lines about its workers that name no request, and ``GLOBAL_EVENTS``.
     """
     ordered = sorted(lines, key=lambda line: line.time)
     own = [line for line in ordered if _mentions_request(line, request)]
--- a/libs/standins/src/bilberryhitch_standins/executor_faults.py
+++ b/libs/standins/src/bilberryhitch_standins/executor_faults.py
@@ -27,7 +27,8 @@
         appends bytes; ``wrong_attempt`` answers with another attempt's identifier;
         ``duplicate`` sends the answer twice; ``fail`` answers with status 500
     :param seconds: delay of ``slow``, in seconds
-    :param times: number of requests that it affects; 0 for all until it is cleared
+    :param times: number of requests that it affects; 0 for all until it is cleared;
+        ignored for ``pause``, which always lasts until it is cleared
     :param extra_bytes: number of bytes that ``over_long`` appends to the answer
     """
 
--- a/libs/standins/src/bilberryhitch_standins/simulated_fleet.py
+++ b/libs/standins/src/bilberryhitch_standins/simulated_fleet.py
@@ -1,7 +1,11 @@
-"""Simulation of workers that run tasks under leases, without I/O.
+"""Simulation of workers that run tasks for ``bilberryhitch_planner``, without I/O.
 
-The caller passes the time. The stand-in of the worker protocol, the job emulator and
-tests use it.
+A worker has one lease for all of its runs. It takes the calls of this planner's worker
+protocol: start, stop and heartbeat (``hold``). The workers of ``bilberryhitch_gangs``,
+which have another protocol, are simulated in ``worker_model.py``.
+
+The caller passes the time. The worker stand-in of the platform, the job emulator and
+tests use this module.
 """
 
 from collections.abc import Callable
@@ -45,7 +49,8 @@
 class WorkerParameters(NamedTuple):
     """Timings of the simulated workers.
 
-    :param max_lease_extension_s: longest time by which a call extends the lease
+    :param max_lease_extension_s: a call extends the lease to at most this many seconds
+        after the time of the call
     :param stop_duration_s: seconds from a stop call to the end of the run
     :param gang_assembly_timeout_s: seconds after which an incomplete gang ends
     :param restore_s: not used
--- a/libs/standins/src/bilberryhitch_standins/worker_model.py
+++ b/libs/standins/src/bilberryhitch_standins/worker_model.py
@@ -1,4 +1,7 @@
-"""Lease table of a simulated worker, without I/O."""
+"""Lease table of a simulated worker of ``bilberryhitch_gangs``, without I/O.
+
+The workers of ``bilberryhitch_planner`` are simulated in ``simulated_fleet.py``.
+"""
 
 import json
 from collections.abc import Callable, Iterable, MutableMapping
--- a/libs/standins/src/bilberryhitch_standins/worker_server.py
+++ b/libs/standins/src/bilberryhitch_standins/worker_server.py
@@ -1,4 +1,7 @@
-"""Stand-in of a worker: the worker protocol over HTTP, with fault injection."""
+"""Stand-in of a worker: the worker protocol over HTTP, with fault injection.
+
+The protocol is that of ``bilberryhitch_gangs``, not of ``bilberryhitch_planner``.
+"""
 
 import asyncio
 import time
--- a/libs/testing/src/bilberryhitch_testing/planner_harness.py
+++ b/libs/testing/src/bilberryhitch_testing/planner_harness.py
@@ -155,6 +155,7 @@
     def send_all_heartbeats(self) -> None:
         """Pass a heartbeat reply of every worker, which lists the expected runs."""
         for name, worker in list(self.planner.workers.items()):
+            # The time serves as the percentage: any changed value counts as progress.
             running = [
                 RunningTask(run.task, run.number, "", self.now)
                 for run in worker.runs.values()
--- a/measure/job_emulator.py
+++ b/measure/job_emulator.py
@@ -36,11 +36,15 @@
 UNIX_S = 1_000_000.0
 # Emulated time after the last arrival; jobs that end later earn nothing.
 POST_ARRIVAL_S = 25.0
+# A job that takes longer than its objective earns a reduced worth; one that takes
+# longer than this multiple of the objective earns nothing.
 LATE_FACTOR = 3.0
 # A job's worth is its kind's worth times a factor that grows with its work: the
 # minimum is the part that does not depend on the work.
 MIN_WORTH_FACTOR = 0.3
 MAX_WORTH_FACTOR = 4.0
+# Share of the pool's GPUs up to which the objective counts a step's tasks as running
+# at the same time; a step that needs more gets proportionally more time.
 WIDE_STEP_SHARE = 0.25
 
 
@@ -97,7 +101,18 @@
 
 
 class Result(NamedTuple):
-    """Worth earned and resources wasted in an emulated day."""
+    """Worth earned, resources wasted and errors in an emulated day.
+
+    :ivar worth: share of the offered worth that was earned
+    :ivar worst_window: mean of that share in the two worst windows; a window holds the
+        jobs that arrive within two seconds
+    :ivar by_kind: that share by kind of job
+    :ivar in_time: share of the jobs that earned their full worth
+    :ivar late: share of the jobs that earned a reduced worth
+    :ivar wasted_core_s: core-seconds of lost work; a GPU counts as 8 cores
+    :ivar violations: number of duplicate runs and of starts that exceeded the capacity
+        of a worker
+    """
 
     worth: float
     worst_window: float
@@ -230,6 +245,7 @@
                 for work in task_work_s
             )
         )
+        # The number of rounds, possibly fractional, in which the tasks run.
         waves = max(1.0, width * gpu / (pool_gpus * WIDE_STEP_SHARE))
         critical_path_s += max(task_work_s) * waves
         core_s += sum(task_work_s) * (demand.cpu / 1000 + 8 * gpu)
--- a/measure/policy.py
+++ b/measure/policy.py
@@ -127,13 +127,19 @@
 
 
 def first_start_or_end(record: JobHistory) -> float:
-    """Return the time of a job's first start, or the end of the simulation."""
+    """Return the time of a job's first start, or ``END_S`` if it did not start.
+
+    ``END_S`` is also used for a run with a flood, which stops earlier.
+    """
     first_start = record.first_start
     return END_S if first_start is None else first_start
 
 
 def completion_times(simulation: Simulation, account: str = "") -> list[float]:
-    """Return the times from submission to completion."""
+    """Return the times from submission to completion.
+
+    Unfinished jobs count as completed at ``END_S``.
+    """
     return [
         (END_S if record.done is None else record.done) - record.arrival.at
         for record in simulation.records.values()
--- a/tests/machines/rules_point2_gangs.py
+++ b/tests/machines/rules_point2_gangs.py
@@ -10,6 +10,8 @@
 
 processes = st.sampled_from("ab")
 workers = st.sampled_from(["w0", "w1", "w2"])
+# Jobs of "any" are idempotent, so they may run again; those of "once" are not. With
+# "-save" they can also save and resume their state.
 routes = st.sampled_from(["any", "once", "any-save", "once-save"])
 
 
--- a/tests/machines/test_point2_gangs.py
+++ b/tests/machines/test_point2_gangs.py
@@ -30,7 +30,7 @@
 
 
 def planner_killed_before_it_sees_a_loss(machine):
-    """A worker restarts unnoticed; the planner is killed just after a renewal."""
+    """Worker w1 restarts while cut off; 3 s later both entry hosts are killed."""
     machine.submit_one("any", 40.0, tasks=3, settle_s=4.0)
     (holder,) = machine.world.holders()
     for process in machine.world.processes.values():
@@ -43,7 +43,7 @@
 
 
 def planner_cannot_stop_the_rest(machine):
-    """A start is refused and the stop of another member does not arrive."""
+    """Worker w1 refuses its start; w0 is cut off after the first start of a task."""
     machine.submit_one("any", 40.0, tasks=3)
     machine.advance_to("reserve")
     machine.refuse_or_fail("w1", True)
@@ -55,6 +55,7 @@
 
 
 def start_refused(machine):
+    """Worker w1 refuses its start; all connections work."""
     machine.submit_one("any", 40.0, tasks=3)
     machine.advance_to("reserve")
     machine.refuse_or_fail("w1", True)
--- a/tests/machines/world_point2_gangs.py
+++ b/tests/machines/world_point2_gangs.py
@@ -228,8 +228,9 @@
 
 
 class World:
-    """Entry hosts ``a``, ``b``, ``c`` and workers of one pool.
+    """Entry hosts and workers of one pool.
 
+    :param processes: number of entry hosts, which are named ``a``, ``b`` and so on
     :ivar calls: calls to workers so far
     :ivar answers: answers given to each caller, by its name
     :ivar cancelled: records returned by cancellations, by job id
